--- a/include/cornelspring/coordination.hpp
+++ b/include/cornelspring/coordination.hpp
@@ -332,14 +332,14 @@
     /** Finishes the query when every shard is settled. */
     void maybe_finish(state_ptr const& state);
 
-    h2_client& m_client;                            ///< Transport.
-    gather_options m_options;                       ///< Limits.
-    replica_chooser m_chooser;                      ///< Policy.
-    backend_tracker& m_tracker;                     ///< Observations.
-    snapshot_source m_current;                      ///< Configuration in force.
-    token_budget m_retry_budget;                    ///< Allowance for retries.
-    token_budget m_hedge_budget;                    ///< Allowance for hedges.
-    std::map<std::string, time_window> m_latencies; ///< Recent shard latencies by service.
+    h2_client& m_client;                                ///< Transport.
+    gather_options m_options;                           ///< Limits.
+    replica_chooser m_chooser;                          ///< Policy.
+    backend_tracker& m_tracker;                         ///< Observations.
+    snapshot_source m_current;                          ///< Configuration in force.
+    token_budget m_retry_budget;                        ///< Allowance for retries.
+    token_budget m_hedge_budget;                        ///< Allowance for hedges.
+    std::map<std::string, duration_window> m_latencies; ///< Recent shard latencies by service.
 };
 
 /** Steps of a non-idempotent request, for fault injection in tests. */
--- a/include/cornelspring/dispatch.hpp
+++ b/include/cornelspring/dispatch.hpp
@@ -20,11 +20,11 @@
 
 /** A query that asks for admission. */
 struct admission_request {
-    milliseconds goal{1000}; ///< Goal of its route.
-    time_point begun;        ///< When it began.
-    bool most_urgent = true; ///< No other route to its services has a higher rank.
-    bool returning = false;  ///< Its caller was refused before.
-    double most_share = 1;   ///< Share of such queries that its shards leave, by coverable_share().
+    milliseconds goal{1000};      ///< Goal of its route.
+    time_point started_at;        ///< When it began.
+    bool highest_priority = true; ///< No other route to its services has a higher rank.
+    bool retried = false;         ///< Its caller was refused before.
+    double max_share = 1;         ///< Share of such queries that its shards leave, by coverable_share().
 };
 
 /**
@@ -46,13 +46,13 @@
  */
 class admission_control {
 public:
-    /** @return whether a query may begin, and why; on_half_answered() or on_ended() follows. @param request query.
+    /** @return whether a query may begin, and why; on_half_responded() or on_finished() follows. @param request query.
      *  @param draw random number from 0 to 1. @param now present time. */
     admission_decision admit(admission_request const& request, double draw, time_point now);
     /** Half of a query's shards have answered. @param begun when it began. @param now present time. */
-    void on_half_answered(time_point begun, time_point now);
+    void on_half_responded(time_point begun, time_point now);
     /** A query ended before half of its shards had answered. @param begun when it began. */
-    void on_ended(time_point begun);
+    void on_finished(time_point begun);
     /** @return whether queries with @p goal queue at the backend servers. @param goal goal. @param now present time. */
     bool congested(milliseconds goal, time_point now) const;
 
@@ -94,9 +94,9 @@
  * @param connected tells whether there is a connection. @param random order. @param now present time.
  */
 std::vector<std::shared_ptr<backend_server>>
-plan_connections(serving_config const& config, backend_registry& registry, place_rules const& places,
-                 std::function<bool(std::shared_ptr<backend_server> const&)> const& connected, std::mt19937_64& random,
-                 time_point now);
+backends_to_preconnect(serving_config const& config, backend_registry& registry, place_rules const& places,
+                       std::function<bool(std::shared_ptr<backend_server> const&)> const& connected,
+                       std::mt19937_64& random, time_point now);
 
 // ---- One request ----
 
@@ -116,68 +116,68 @@
 using attempt_id = strong_id<struct attempt_id_tag, std::uint64_t>;
 
 /** An attempt to be sent. */
-struct attempt_order {
+struct outgoing_attempt {
     attempt_id id;                          ///< For on_result() and cancel.
     std::shared_ptr<backend_server> target; ///< Where to.
     std::string head;                       ///< Start line and headers, all but the deadline.
     std::string body;                       ///< Body.
-    time_point give_up;                     ///< The caller waits no longer; told to the backend server as time left.
-    std::string caller_id;                  ///< The caller's request id, which the answer must carry.
+    time_point caller_deadline;             ///< The caller waits no longer; told to the backend server as time left.
+    std::string request_id;                 ///< The caller's request id, which the answer must carry.
     bool head_request = false;              ///< A HEAD request, whose response has no body.
-    bool repeatable = true;                 ///< May be sent on a kept connection that could be dead.
+    bool idempotent = true;                 ///< May be sent on a kept connection that could be dead.
 };
 
 /** Result of an attempt. */
 struct attempt_result {
-    attempt_end end = attempt_end::lost; ///< How it ended.
-    http_response response;              ///< The response when answered or not executed.
-    std::string detail;                  ///< Why it failed, for logs.
+    attempt_end outcome = attempt_end::lost; ///< How it ended.
+    http_response response;                  ///< The response when answered or not executed.
+    std::string detail;                      ///< Why it failed, for logs.
 };
 
 /** What is known of a request's time before it was read, and after it will be answered. */
 struct request_timing {
-    clock::duration waited{0};     ///< Longest time that it may have waited unread at this VM.
+    clock::duration max_unread{0}; ///< Longest time that it may have waited unread at this VM.
     clock::duration round_trip{0}; ///< Time that it and its answer take on the network; 0 when not known.
 };
 
 /** What became of a request, for logs and metrics. */
 struct request_summary {
-    std::string caller_id;             ///< The caller's id of the request.
-    std::string route_name;            ///< Route, or empty.
-    config_version version;            ///< Configuration that decided.
-    int status = 0;                    ///< Status answered; 0 when the caller left.
-    char const* reason = "";           ///< Why, in one word.
-    std::size_t shards = 0;            ///< Shards of the request.
-    std::size_t answered = 0;          ///< Shards in the answer.
-    int sent = 0;                      ///< Attempts sent.
-    int hedges = 0;                    ///< Of these, sent while another was open.
-    int retries = 0;                   ///< Of these, sent after a failure.
-    std::chrono::microseconds took{0}; ///< From arrival to answer.
-    milliseconds spent{0};             ///< Time of its caller that had gone when it was read, or goes with its answer.
+    std::string request_id;                ///< The caller's id of the request.
+    std::string route_name;                ///< Route, or empty.
+    config_version version;                ///< Configuration that decided.
+    int status = 0;                        ///< Status answered; 0 when the caller left.
+    char const* reason = "";               ///< Why, in one word.
+    std::size_t shards = 0;                ///< Shards of the request.
+    std::size_t shards_answered = 0;       ///< Shards in the answer.
+    int attempts = 0;                      ///< Attempts sent.
+    int hedges = 0;                        ///< Of these, sent while another was open.
+    int retries = 0;                       ///< Of these, sent after a failure.
+    std::chrono::microseconds duration{0}; ///< From arrival to answer.
+    milliseconds caller_time_spent{0}; ///< Time of its caller that had gone when it was read, or goes with its answer.
     int failed_attempts = 0;           ///< Attempts that failed.
     int disconnects = 0;               ///< Of these, ended by the backend server's closing the connection.
     request_digest digest;             ///< Of the request, once it was looked at: the same for its repetitions.
     caller_address caller;             ///< Who sent it.
-    bool cautious = false;             ///< It went to one backend server at a time.
-    std::string line;                  ///< With a digest: method, host and path, as far as a log line takes them.
-    std::string failures;              ///< The first of these: backend server and reason.
-    std::string extra;                 ///< The first hedges and retries: why there, and the budget that was left.
+    bool sequential = false;           ///< It went to one backend server at a time.
+    std::string request_line;          ///< With a digest: method, host and path, as far as a log line takes them.
+    std::string failure_details;       ///< The first of these: backend server and reason.
+    std::string extra_attempts;        ///< The first hedges and retries: why there, and the budget that was left.
     int hedges_denied = 0;             ///< Hedges that were due and not sent.
-    char const* denied = "";           ///< Why the last of them was not.
-    double wait_ms = 0;                ///< Wait for half of the shards that admission went by; 0: it was not asked.
-    double admitted_share = 1;         ///< Share of such queries that it let in.
-    double coverable_share = 1;        ///< Share that the shards which decide leave at most.
-    int no_home = 0;                   ///< Choices that failed as no server was left at home,
-    int evacuated = 0;                 ///< as those left were evacuated,
-    int cold = 0;                      ///< as those left were cold and had got enough.
+    char const* hedge_denied_reason = ""; ///< Why the last of them was not.
+    double admission_wait_ms = 0;         ///< Wait for half of the shards that admission went by; 0: it was not asked.
+    double admitted_share = 1;            ///< Share of such queries that it let in.
+    double coverable_share = 1;           ///< Share that the shards which decide leave at most.
+    int no_home = 0;                      ///< Choices that failed as no server was left at home,
+    int evacuated = 0;                    ///< as those left were evacuated,
+    int cold = 0;                         ///< as those left were cold and had got enough.
 };
 
 /** Calls of the dispatcher to the outside. */
 struct dispatcher_hooks {
-    std::function<void(attempt_order)> send;                ///< Sends an attempt; its result comes back later.
-    std::function<void(attempt_id)> cancel;                 ///< Gives an attempt up; no result is wanted.
-    std::function<void(request_key, http_response)> answer; ///< Answers a caller.
-    std::function<void(request_summary const&)> finished;   ///< A request ended.
+    std::function<void(outgoing_attempt)> send;              ///< Sends an attempt; its result comes back later.
+    std::function<void(attempt_id)> cancel;                  ///< Gives an attempt up; no result is wanted.
+    std::function<void(request_key, http_response)> respond; ///< Answers a caller.
+    std::function<void(request_summary const&)> on_finished; ///< A request ended.
 };
 
 /** Settings of the dispatcher. */
@@ -194,50 +194,50 @@
     /** The same as a share of the goal, whichever is more: the longer the goal, the fewer shards still come in its last
      *  milliseconds. */
     double answer_margin_share = 0.05;
-    bool caller_time = true;   ///< Answers leave earlier by the caller's time that has gone and that on the network.
-    milliseconds observe{300}; ///< A hedged attempt is watched so long, to learn when its server recovers.
+    bool caller_time = true; ///< Answers leave earlier by the caller's time that has gone and that on the network.
+    milliseconds observation_time{300}; ///< A hedged attempt is watched so long, to learn when its server recovers.
     /** Share of a backend server's connections that all VMs together use. Connections of VMs that lost power stay open
      *  at the backend server; the rest lets the VMs connect again when they are back. */
     double connection_share = 0.6;
-    double retry_after_s = 0.3; ///< Told to callers that were refused, at least; spread up to twice it.
-    double return_from = 0.08;  ///< Callers refused for load come back after this share of their time,
-    double return_to = 0.3;     ///< at the latest after this one; they wait a third of it at most.
-    bool admission = true;      ///< Bound the open requests.
-    bool by_rank = true;        ///< Urgent queries are let in first.
-    bool returning_last = true; ///< Callers that come again are let in last.
-    bool hedging = true;        ///< Slow shards get a second attempt.
-    bool hedge_pause = true;    ///< One that comes up late waits until arrived answers are read.
-    bool hedge_check = true;    ///< While queries queue, it goes only where it gains.
-    bool early_answer = true;   ///< Answers leave before the goal with what is there.
-    bool by_coverage = true;    ///< Admission goes by the shards that decide too, see coverable_share().
+    double retry_after_s = 0.3;       ///< Told to callers that were refused, at least; spread up to twice it.
+    double overload_retry_min = 0.08; ///< Callers refused for load come back after this share of their time,
+    double overload_retry_max = 0.3;  ///< at the latest after this one; they wait a third of it at most.
+    bool admission = true;            ///< Bound the open requests.
+    bool by_priority = true;          ///< Urgent queries are let in first.
+    bool retries_last = true;         ///< Callers that come again are let in last.
+    bool hedging = true;              ///< Slow shards get a second attempt.
+    bool hedge_pause = true;          ///< One that comes up late waits until arrived answers are read.
+    bool hedge_check = true;          ///< While queries queue, it goes only where it gains.
+    bool early_answer = true;         ///< Answers leave before the goal with what is there.
+    bool by_coverage = true;          ///< Admission goes by the shards that decide too, see coverable_share().
 };
 
 /** A mechanism that can be switched off, to measure what it is worth. */
-struct experiment {
-    std::string name;                                    ///< Name in settings.
-    std::string help;                                    ///< What it does.
-    std::function<void(dispatcher_options&)> switch_off; ///< Switches it off.
+struct feature_toggle {
+    std::string name;                                 ///< Name in settings.
+    std::string help;                                 ///< What it does.
+    std::function<void(dispatcher_options&)> disable; ///< Switches it off.
 };
 /** @return all of them. */
-std::vector<experiment> const& experiments();
+std::vector<feature_toggle> const& feature_toggles();
 /** @return their names and what they do, for a setting's help. */
-std::string experiments_help();
+std::string feature_toggles_help();
 /** Switches one off. @param options where. @param mechanism its name. @throw error bad_settings when there is none. */
-void switch_off(dispatcher_options& options, std::string const& mechanism);
+void disable_feature(dispatcher_options& options, std::string const& mechanism);
 
 /** Recent times of one kind. */
-class time_window {
+class duration_window {
 public:
     /** Sizes of a window. */
     struct sizes {
-        std::size_t kept = 1024;   ///< Observations kept.
-        std::size_t minimum = 32;  ///< Observations needed before a quantile is given.
-        std::size_t refresh = 128; ///< A quantile is computed anew after so many observations.
+        std::size_t capacity = 1024;     ///< Observations kept.
+        std::size_t min_samples = 32;    ///< Observations needed before a quantile is given.
+        std::size_t refresh_after = 128; ///< A quantile is computed anew after so many observations.
     };
     /** A window of the usual sizes, for latencies. */
-    time_window() = default;
+    duration_window() = default;
     /** @param of sizes. */
-    explicit time_window(sizes of) : m_sizes(of) {}
+    explicit duration_window(sizes of) : m_sizes(of) {}
     /** Adds one observation. @param time observed time. */
     void add(std::chrono::microseconds time);
     /** @return observations in the window. */
@@ -269,19 +269,19 @@
      *  and after. @param caller who sent it. @param now present time. */
     void start(request_key key, http_request message, request_timing timing, caller_address caller, time_point now);
     /** The caller has left: gives up all work for it. @param key request. @param now present time. */
-    void caller_gone(request_key key, time_point now);
+    void on_caller_disconnected(request_key key, time_point now);
     /** Takes in the result of an attempt. @param id attempt. @param result result. @param now present time. */
     void on_result(attempt_id id, attempt_result result, time_point now);
     /** Does what is due. @param now present time. */
-    void on_time(time_point now);
-    /** @return when on_time() has something to do next. */
+    void on_timer(time_point now);
+    /** @return when on_timer() has something to do next. */
     std::optional<time_point> next_due() const;
     /** @return requests not yet answered. */
     std::size_t open_requests() const;
     /** Sets how many VMs share budgets and connections. @param vms at least 1. */
-    void set_vms(std::size_t vms);
+    void set_vm_count(std::size_t vms);
     /** Ends every open request at once: not run where that is certain. @param now present time. */
-    void abandon_all(time_point now);
+    void finish_all(time_point now);
 
     /** Opaque state, defined in the source file. */
     struct impl;
--- a/include/cornelspring/gateway.hpp
+++ b/include/cornelspring/gateway.hpp
@@ -105,7 +105,7 @@
     backend_pool(event_loop& loop, pool_options options, std::function<void(attempt_id, attempt_result)> on_result);
     ~backend_pool();
     /** Sends an attempt. @param order the attempt. */
-    void send(attempt_order order);
+    void send(outgoing_attempt order);
     /** Gives an attempt up by closing its connection. @param id attempt. */
     void cancel(attempt_id id);
     /** Opens a connection ahead, kept for a later attempt. @param server where to. */
--- a/src/dispatch/admission_control.cpp
+++ b/src/dispatch/admission_control.cpp
@@ -73,34 +73,34 @@
 {
     double const in_time = (full_strain - strain(request.goal, now)) / (full_strain - free_strain);
     double admitted = std::clamp(in_time, least_share, 1.0);
-    if (request.most_urgent) {
+    if (request.highest_priority) {
         m_urgent_share = admitted;
     } else {
         admitted = std::max(admitted, std::pow(m_urgent_share, lower_rank_power));
     }
-    return request.returning ? std::pow(admitted, returning_power) : admitted;
+    return request.retried ? std::pow(admitted, returning_power) : admitted;
 }
 
 admission_decision admission_control::admit(admission_request const& request, double draw, time_point now)
 {
     m_gap_ms += gap_weight * (std::min(ms_of(now - m_asked_at), longest_gap_ms) - m_gap_ms);
     m_asked_at = now;
-    admission_decision decision{true, wait_ms(now), std::min(share(request, now), request.most_share)};
+    admission_decision decision{true, wait_ms(now), std::min(share(request, now), request.max_share)};
     decision.admitted = draw < decision.share;
-    if (decision.admitted) m_waiting.insert(request.begun);
+    if (decision.admitted) m_waiting.insert(request.started_at);
     return decision;
 }
 
-void admission_control::on_half_answered(time_point begun, time_point now)
+void admission_control::on_half_responded(time_point begun, time_point now)
 {
-    on_ended(begun);
+    on_finished(begun);
     double const sample = ms_of(now - begun);
     m_wait_ms += wait_weight.after(now - m_sampled_at) * (sample - m_wait_ms);
     m_usual_ms = std::min(m_wait_ms, m_usual_ms + usual_rise * (m_wait_ms - m_usual_ms));
     m_sampled_at = now;
 }
 
-void admission_control::on_ended(time_point begun)
+void admission_control::on_finished(time_point begun)
 {
     if (auto const found = m_waiting.find(begun); found != m_waiting.end()) m_waiting.erase(found);
 }
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -101,17 +101,17 @@
     draw_conclusions(*request, now);
     request->summary.status = response.status;
     request->summary.reason = reason;
-    hooks.answer(key, std::move(response));
+    hooks.respond(key, std::move(response));
     report(*request, now);
 }
 
 void dispatcher::impl::report(request_state& request, time_point now)
 {
     auto& summary = request.summary;
-    summary.answered = request.done;
-    summary.took = std::chrono::duration_cast<std::chrono::microseconds>(now - request.arrived);
+    summary.shards_answered = request.done;
+    summary.duration = std::chrono::duration_cast<std::chrono::microseconds>(now - request.arrived);
     if (summary.disconnects > 0) look_at(request);
-    hooks.finished(summary);
+    hooks.on_finished(summary);
 }
 
 // ---- Time ----
@@ -153,7 +153,7 @@
     rearm(request, now);
 }
 
-void dispatcher::impl::on_time(time_point now)
+void dispatcher::impl::on_timer(time_point now)
 {
     while (!due.empty() && due.begin()->first <= now) {
         auto const key = due.begin()->second;
@@ -188,7 +188,7 @@
     m_impl->start(key, std::move(message), timing, std::move(caller), now);
 }
 
-void dispatcher::caller_gone(request_key key, time_point now)
+void dispatcher::on_caller_disconnected(request_key key, time_point now)
 {
     auto const found = m_impl->open.find(key.value());
     if (found == m_impl->open.end()) return;
@@ -212,10 +212,10 @@
     m_impl->on_result(id, std::move(result), now);
 }
 
-void dispatcher::on_time(time_point now)
+void dispatcher::on_timer(time_point now)
 {
     m_impl->ended.clear();
-    m_impl->on_time(now);
+    m_impl->on_timer(now);
 }
 
 std::optional<time_point> dispatcher::next_due() const
@@ -230,9 +230,9 @@
 
 std::size_t dispatcher::open_requests() const { return m_impl->open.size(); }
 
-void dispatcher::set_vms(std::size_t vms) { m_impl->vms = std::max<std::size_t>(vms, 1); }
+void dispatcher::set_vm_count(std::size_t vms) { m_impl->vms = std::max<std::size_t>(vms, 1); }
 
-void dispatcher::abandon_all(time_point now)
+void dispatcher::finish_all(time_point now)
 {
     std::vector<request_key> keys;
     for (auto const& [key, request] : m_impl->open)
--- a/src/dispatch/dispatcher_arrival.cpp
+++ b/src/dispatch/dispatcher_arrival.cpp
@@ -20,7 +20,7 @@
 
 /** Window of the times that callers of a route still wait; it answers from the first one on, and anew for each: a VM
  * that sees one query a second must not believe its first caller for many seconds. */
-constexpr time_window::sizes deadline_window{256, 1, 1};
+constexpr duration_window::sizes deadline_window{256, 1, 1};
 /** So many requests show how long callers of a route wait; of fewer the longest counts, and the route's own timeout, */
 constexpr std::size_t deadline_samples = 32;
 /** where it is longer by less than this share of the goal: callers that have looked up an address are that close. */
@@ -46,7 +46,7 @@
 {
     auto const& config = configs.current();
     request_summary summary;
-    summary.caller_id = message.header(options.names.request_id);
+    summary.request_id = message.header(options.names.request_id);
     summary.caller = std::move(caller);
     if (!config) {
         answer_at_once(key, summary, refusal("no configuration is known yet", starting_wait_s(now)), "starting");
@@ -128,7 +128,7 @@
         request.returning =
             static_cast<double>(request.gone.count()) > returning_share * static_cast<double>(full.count());
     }
-    request.deadline = request.arrived - timing.waited + left - deadline_margin;
+    request.deadline = request.arrived - timing.max_unread + left - deadline_margin;
     auto spent = options.caller_time ? request.gone + timing.round_trip : clock::duration(0);
     // What is late already has no goal to keep, or its caller simply waits for less time than others.
     clock::duration const fixed = options.answer_margin;
@@ -136,7 +136,7 @@
     auto const margin = std::max(fixed, of_goal);
     if (spent + margin >= request.via->goal) spent = clock::duration(0);
     request.answer_by = options.early_answer ? request.arrived + request.via->goal - margin - spent : request.deadline;
-    request.summary.spent = std::chrono::duration_cast<milliseconds>(spent);
+    request.summary.caller_time_spent = std::chrono::duration_cast<milliseconds>(spent);
     return request.deadline > request.arrived;
 }
 
@@ -273,13 +273,13 @@
     auto& control = admissions[first.name.value()];
     admission_request asked;
     asked.goal = request.via->goal;
-    asked.begun = request.arrived;
-    asked.returning = options.returning_last && request.returning;
-    if (options.by_coverage) asked.most_share = coverable(request, now);
-    request.summary.coverable_share = asked.most_share;
-    asked.most_urgent = !options.by_rank || request.via->most_urgent;
+    asked.started_at = request.arrived;
+    asked.retried = options.retries_last && request.returning;
+    if (options.by_coverage) asked.max_share = coverable(request, now);
+    request.summary.coverable_share = asked.max_share;
+    asked.highest_priority = !options.by_priority || request.via->most_urgent;
     auto const decision = control.admit(asked, std::uniform_real_distribution<double>(0, 1)(random), now);
-    request.summary.wait_ms = decision.wait_ms;
+    request.summary.admission_wait_ms = decision.wait_ms;
     request.summary.admitted_share = decision.share;
     if (!decision.admitted) return false;
     request.admission = &control;
@@ -289,7 +289,7 @@
 void dispatcher::impl::leave_admission(request_state& request)
 {
     if (request.admission == nullptr) return;
-    if (!request.half_answered) request.admission->on_ended(request.arrived);
+    if (!request.half_answered) request.admission->on_finished(request.arrived);
     request.admission = nullptr;
 }
 
@@ -298,7 +298,7 @@
 {
     auto const left_s = std::chrono::duration<double>(request.deadline - request.arrived).count();
     auto response = own_answer(503, "too many requests are open");
-    std::uniform_real_distribution<double> share(options.return_from, options.return_to);
+    std::uniform_real_distribution<double> share(options.overload_retry_min, options.overload_retry_max);
     response.headers.push_back({"retry-after", std::to_string(std::round(share(random) * left_s * 1000) / 1000)});
     return response;
 }
--- a/src/dispatch/dispatcher_attempts.cpp
+++ b/src/dispatch/dispatcher_attempts.cpp
@@ -67,15 +67,15 @@
 {
     auto& shard = request.shards[index];
     attempt_id const id(++last_attempt);
-    attempt_order order;
+    outgoing_attempt order;
     order.id = id;
     order.target = chosen.target;
     order.head = request.head_bytes + options.names.target_backend + ": " + chosen.target->entry.id.value() + "\r\n";
     order.body = request.message.body;
-    order.give_up = request.deadline + deadline_margin;
-    order.caller_id = request.summary.caller_id;
+    order.caller_deadline = request.deadline + deadline_margin;
+    order.request_id = request.summary.request_id;
     order.head_request = request.message.method == "HEAD";
-    order.repeatable = request.via->kind == route_kind::idempotent;
+    order.idempotent = request.via->kind == route_kind::idempotent;
     attempts.emplace(id.value(),
                      open_attempt{request.key, index, shard.group, chosen.target,
                                   &request.latencies->of(chosen.target->where), now, request.cautious, false});
@@ -86,7 +86,7 @@
     ++shard.sends;
     ++shard.arrivals;
     ++shard.runs;
-    ++request.summary.sent;
+    ++request.summary.attempts;
     if (request.cautious) ++request.trials;
     if (reason != attempt_reason::first) note_extra(request, *shard.group, chosen, reason, now);
     plan_hedge(request, shard, chosen.target->where, now);
@@ -111,10 +111,10 @@
     if (summary.hedges + summary.retries > extras_named) return;
     auto const at_ms = std::chrono::duration_cast<milliseconds>(now - request.arrived).count();
     auto const whole = [](double value) { return std::to_string(std::llround(value)); };
-    summary.extra += std::string(hedged ? "hedge:" : "retry:") + chosen.target->entry.id.value() +
-                     ":at_ms=" + std::to_string(at_ms) + ",expected_ms=" + whole(chosen.wait_ms) +
-                     ",suspect=" + (chosen.suspect ? "1" : "0") +
-                     ",budget=" + whole(group.budget.left(options.budget, vms, now)) + " ";
+    summary.extra_attempts += std::string(hedged ? "hedge:" : "retry:") + chosen.target->entry.id.value() +
+                              ":at_ms=" + std::to_string(at_ms) + ",expected_ms=" + whole(chosen.wait_ms) +
+                              ",suspect=" + (chosen.suspect ? "1" : "0") +
+                              ",budget=" + whole(group.budget.left(options.budget, vms, now)) + " ";
 }
 
 void dispatcher::impl::first_attempt(request_state& request, std::size_t index, time_point now)
@@ -207,7 +207,7 @@
     auto const miss = send(request, index, attempt_reason::hedge, now);
     if (miss != selection_miss::none) {
         ++request.summary.hedges_denied;
-        request.summary.denied = to_string(miss);
+        request.summary.hedge_denied_reason = to_string(miss);
         shard.hedge_at = now + hedge_delay(request, proximity::other_region);
     }
 }
@@ -244,10 +244,10 @@
     auto const attempt = found->second;
     attempts.erase(found);
     auto const took = std::chrono::duration_cast<std::chrono::microseconds>(now - attempt.sent);
-    attempt.target->load.on_ended(result.end, took, now);
-    if (result.end == attempt_end::wrong_server) attempt.target->gone = true;
-    if (result.end == attempt_end::answered) note_warmup(*attempt.target, result.response, now);
-    if (result.end == attempt_end::answered) {
+    attempt.target->load.on_ended(result.outcome, took, now);
+    if (result.outcome == attempt_end::wrong_server) attempt.target->gone = true;
+    if (result.outcome == attempt_end::answered) note_warmup(*attempt.target, result.response, now);
+    if (result.outcome == attempt_end::answered) {
         attempt.latencies->add(took);
         double const ms = static_cast<double>(took.count()) / 1000.0;
         attempt.group->usual_latency_ms += usual_latency_weight * (ms - attempt.group->usual_latency_ms);
@@ -255,16 +255,16 @@
     if (auto const owner = open.find(attempt.request.value()); owner != open.end() && !attempt.observed) {
         auto& request = *owner->second;
         std::erase(request.shards[attempt.shard].open, id);
-        if (attempt.trial && !may_have_run(result.end)) --request.trials;
-        if (result.end != attempt_end::answered && ++request.summary.failed_attempts <= failures_named) {
-            request.summary.failures +=
-                attempt.target->entry.id.value() + ":" + to_string(result.end) + ":" + result.detail + " ";
+        if (attempt.trial && !may_have_run(result.outcome)) --request.trials;
+        if (result.outcome != attempt_end::answered && ++request.summary.failed_attempts <= failures_named) {
+            request.summary.failure_details +=
+                attempt.target->entry.id.value() + ":" + to_string(result.outcome) + ":" + result.detail + " ";
         }
-        if (result.end == attempt_end::answered) {
+        if (result.outcome == attempt_end::answered) {
             bool const held = usable_answer(request, result.response) && on_survived(request, now);
             on_answer(request, attempt.shard, std::move(result.response), now);
             if (held) send_held(request, now);
-        } else if (result.end != attempt_end::disconnected || on_disconnect(request, now)) {
+        } else if (result.outcome != attempt_end::disconnected || on_disconnect(request, now)) {
             on_failure(request, attempt.shard, result, now);
         }
         if (request.cautious) next_cautious(request, now);
@@ -305,8 +305,8 @@
                                   time_point now)
 {
     auto& shard = request.shards[index];
-    if (!may_have_run(result.end)) --shard.runs;
-    if (result.end == attempt_end::not_sent) --shard.arrivals;
+    if (!may_have_run(result.outcome)) --shard.runs;
+    if (result.outcome == attempt_end::not_sent) --shard.arrivals;
     if (shard.done || shard.failed || !shard.open.empty()) return;
     retry(request, index, now);
     rearm(request, now);
@@ -322,7 +322,7 @@
     ++request.done;
     if (2 * request.done >= request.shards.size() && !request.half_answered) {
         request.half_answered = true;
-        if (request.admission != nullptr) request.admission->on_half_answered(request.arrived, now);
+        if (request.admission != nullptr) request.admission->on_half_responded(request.arrived, now);
     }
     auto const others = std::move(shard.open);
     shard.open.clear();
@@ -354,7 +354,7 @@
     auto& attempt = found->second;
     if (may_observe && attempt.target->load.in_flight() == 1) {
         attempt.observed = true;
-        observed.emplace_back(now + options.observe, id);
+        observed.emplace_back(now + options.observation_time, id);
         return;
     }
     auto const ran = std::chrono::duration_cast<std::chrono::microseconds>(now - attempt.sent);
--- a/src/dispatch/dispatcher_caution.cpp
+++ b/src/dispatch/dispatcher_caution.cpp
@@ -28,7 +28,7 @@
     if (!summary.digest.value().empty()) return;
     auto const& message = request.message;
     summary.digest = digest_of(message);
-    summary.line = (message.method + " " + message.header("host") + message.path).substr(0, logged_line_length);
+    summary.request_line = (message.method + " " + message.header("host") + message.path).substr(0, logged_line_length);
 }
 
 request_standing dispatcher::impl::look_up(request_state& request, time_point now)
@@ -99,7 +99,7 @@
 
 void dispatcher::impl::become_cautious(request_state& request)
 {
-    request.cautious = request.summary.cautious = true;
+    request.cautious = request.summary.sequential = true;
     leave_admission(request); // The time until it is answered says nothing about a queue from now on.
     for (auto& shard : request.shards)
         shard.hedge_at = time_point::max();
--- a/src/dispatch/dispatcher_impl.hpp
+++ b/src/dispatch/dispatcher_impl.hpp
@@ -31,7 +31,7 @@
     std::set<std::pair<time_point, std::uint64_t>> due;                     ///< Requests by time.
     std::deque<std::pair<time_point, attempt_id>> observed;  ///< Observed attempts by end of observation.
     std::map<std::string, admission_control> admissions;     ///< By the first service of a gather.
-    std::map<std::string, time_window> deadlines;            ///< Recent times that callers of a route still waited.
+    std::map<std::string, duration_window> deadlines;        ///< Recent times that callers of a route still waited.
     std::map<std::string, route_latencies> latencies;        ///< By route name.
     std::map<std::string, std::vector<double>> split_credit; ///< Weighted round robin, by route name.
     /** Requests that ended during the present outside call; functions further up may still refer to them. */
@@ -63,8 +63,8 @@
     {
         summary.status = response.status;
         summary.reason = reason;
-        hooks.answer(key, std::move(response));
-        hooks.finished(summary);
+        hooks.respond(key, std::move(response));
+        hooks.on_finished(summary);
     }
 
     /** Takes in a request: route, deadline, shards, admission, first attempts. */
@@ -191,7 +191,7 @@
     /** Does what is due for a request. */
     void on_due(request_state& request, time_point now);
     /** Does all that is due. */
-    void on_time(time_point now);
+    void on_timer(time_point now);
 };
 
 } // namespace cornelspring
--- a/src/dispatch/time_window.cpp
+++ b/src/dispatch/duration_window.cpp
@@ -1,25 +1,25 @@
-/** @file time_window.cpp Quantiles of recent times: latencies for hedge delays, and how long callers wait. */
+/** @file duration_window.cpp Quantiles of recent times: latencies for hedge delays, and how long callers wait. */
 #include <cornelspring/dispatch.hpp>
 
 #include <algorithm>
 
 namespace cornelspring {
 
-void time_window::add(std::chrono::microseconds time)
+void duration_window::add(std::chrono::microseconds time)
 {
-    if (m_samples.size() < m_sizes.kept) {
+    if (m_samples.size() < m_sizes.capacity) {
         m_samples.push_back(time);
     } else {
         m_samples[m_next] = time;
-        m_next = (m_next + 1) % m_sizes.kept;
+        m_next = (m_next + 1) % m_sizes.capacity;
     }
     ++m_since_sort;
 }
 
-std::optional<std::chrono::microseconds> time_window::quantile(double quantile)
+std::optional<std::chrono::microseconds> duration_window::quantile(double quantile)
 {
-    if (m_samples.size() < m_sizes.minimum) return std::nullopt;
-    if (!m_cached || m_since_sort >= m_sizes.refresh) {
+    if (m_samples.size() < m_sizes.min_samples) return std::nullopt;
+    if (!m_cached || m_since_sort >= m_sizes.refresh_after) {
         auto sorted = m_samples;
         auto const place = static_cast<std::size_t>(quantile * static_cast<double>(sorted.size() - 1));
         auto const nth = sorted.begin() + static_cast<std::ptrdiff_t>(place);
--- a/src/dispatch/experiments.cpp
+++ b/src/dispatch/feature_toggles.cpp
@@ -1,21 +1,21 @@
-/** @file experiments.cpp Mechanisms that can be switched off, to measure what each is worth. */
+/** @file feature_toggles.cpp Mechanisms that can be switched off, to measure what each is worth. */
 #include <cornelspring/dispatch.hpp>
 
 #include <algorithm>
 
 namespace cornelspring {
 
-std::vector<experiment> const& experiments()
+std::vector<feature_toggle> const& feature_toggles()
 {
     using options = dispatcher_options;
-    static std::vector<experiment> const all = {
+    static std::vector<feature_toggle> const all = {
         {"hedging", "second attempts of slow shards", [](options& o) { o.hedging = false; }},
         {"hedge_pause", "a second attempt that comes up late waits until arrived answers are read",
          [](options& o) { o.hedge_pause = false; }},
         {"hedge_check", "while queries queue, second attempts go only where they gain",
          [](options& o) { o.hedge_check = false; }},
         {"observation", "attempts that are not needed any more run on to time their server",
-         [](options& o) { o.observe = milliseconds(0); }},
+         [](options& o) { o.observation_time = milliseconds(0); }},
         {"expected_wait", "servers are chosen by their expected wait, not only by distance",
          [](options& o) { o.selection.by_wait = false; }},
         {"suspicion", "servers that failed or stalled are avoided for a while",
@@ -28,10 +28,10 @@
         {"admission", "queries are refused by the measured wait", [](options& o) { o.admission = false; }},
         {"by_coverage", "queries are refused by how often the shards that decide have answered",
          [](options& o) { o.by_coverage = false; }},
-        {"rank", "urgent queries are let in first", [](options& o) { o.by_rank = false; }},
-        {"returning", "callers that come again are let in last", [](options& o) { o.returning_last = false; }},
+        {"rank", "urgent queries are let in first", [](options& o) { o.by_priority = false; }},
+        {"returning", "callers that come again are let in last", [](options& o) { o.retries_last = false; }},
         {"return_spread", "callers that were refused for load come back spread over their time",
-         [](options& o) { o.return_from = o.return_to = 0.1; }},
+         [](options& o) { o.overload_retry_min = o.overload_retry_max = 0.1; }},
         {"early_answer", "an answer leaves before its goal with the shards that are in",
          [](options& o) { o.early_answer = false; }},
         {"caller_time", "answers leave earlier by the caller's time that has gone",
@@ -42,13 +42,13 @@
     return all;
 }
 
-void switch_off(dispatcher_options& options, std::string const& mechanism)
+void disable_feature(dispatcher_options& options, std::string const& mechanism)
 {
-    auto const& all = experiments();
+    auto const& all = feature_toggles();
     auto const found =
-        std::find_if(all.begin(), all.end(), [&](experiment const& each) { return each.name == mechanism; });
+        std::find_if(all.begin(), all.end(), [&](feature_toggle const& each) { return each.name == mechanism; });
     if (found != all.end()) {
-        found->switch_off(options);
+        found->disable(options);
         return;
     }
     std::string known;
@@ -58,10 +58,10 @@
                 "Use one of " + known + ".");
 }
 
-std::string experiments_help()
+std::string feature_toggles_help()
 {
     std::string text = "experiment: mechanisms to switch off, of";
-    for (auto const& each : experiments())
+    for (auto const& each : feature_toggles())
         text += " " + each.name + " (" + each.help + "),";
     text.back() = '.';
     return text;
--- a/src/dispatch/connection_plan.cpp
+++ b/src/dispatch/preconnect.cpp
@@ -1,4 +1,4 @@
-/** @file connection_plan.cpp Which backend servers a gateway connects to before a request needs it. */
+/** @file preconnect.cpp Which backend servers a gateway connects to before a request needs it. */
 #include <cornelspring/dispatch.hpp>
 
 #include <algorithm>
@@ -6,9 +6,9 @@
 namespace cornelspring {
 
 std::vector<std::shared_ptr<backend_server>>
-plan_connections(serving_config const& config, backend_registry& registry, place_rules const& places,
-                 std::function<bool(std::shared_ptr<backend_server> const&)> const& connected, std::mt19937_64& random,
-                 time_point now)
+backends_to_preconnect(serving_config const& config, backend_registry& registry, place_rules const& places,
+                       std::function<bool(std::shared_ptr<backend_server> const&)> const& connected,
+                       std::mt19937_64& random, time_point now)
 {
     // Routes over the same shards may have different homes.
     std::map<service_name, std::set<region_set>> services;
--- a/src/dispatch/request_state.hpp
+++ b/src/dispatch/request_state.hpp
@@ -8,10 +8,10 @@
 /** Recent shard latencies of one route: answers from another region take a round trip more, so that one window for both
  *  would hedge the near ones too late. */
 struct route_latencies {
-    time_window near; ///< From backend servers of this region.
-    time_window far;  ///< From other regions.
+    duration_window near; ///< From backend servers of this region.
+    duration_window far;  ///< From other regions.
     /** @return the window for backend servers at @p where. */
-    time_window& of(proximity where) { return where == proximity::other_region ? far : near; }
+    duration_window& of(proximity where) { return where == proximity::other_region ? far : near; }
 };
 
 /** Why an attempt is sent. */
@@ -23,7 +23,7 @@
     std::size_t shard = 0;                  ///< Shard of the request.
     service_group* group = nullptr;         ///< Service.
     std::shared_ptr<backend_server> target; ///< Backend server.
-    time_window* latencies = nullptr;       ///< Window of the route, for its sample.
+    duration_window* latencies = nullptr;   ///< Window of the route, for its sample.
     time_point sent;                        ///< When it was sent.
     bool trial = false;                     ///< Sent while its request was cautious.
     bool observed = false;                  ///< Its shard is done; it runs on only to time its backend server.
--- a/src/emulator/deployment_file.cpp
+++ b/src/emulator/deployment_file.cpp
@@ -125,7 +125,7 @@
     refuse_unknown(table, known, source);
     made.seed = static_cast<std::uint64_t>(seed);
     for (auto const& mechanism : table.value("without", json::array()))
-        switch_off(made.options, mechanism.get<std::string>());
+        disable_feature(made.options, mechanism.get<std::string>());
     for (auto const& kind : table.value("kind", json::array()))
         made.kinds.push_back(parse_kind(kind));
     for (auto const& fault : table.value("fault", json::array()))
--- a/src/emulator/emulator.cpp
+++ b/src/emulator/emulator.cpp
@@ -58,7 +58,7 @@
     void wake(gateway_vm& vm);
     void plan_arrival(std::size_t kind);
     void begin_try(caller_task task);
-    void send(gateway_vm& vm, attempt_order order);
+    void send(gateway_vm& vm, outgoing_attempt order);
     void answered(gateway_vm& vm, request_key key, http_response const& response);
     void try_again(caller_task const& task, http_response const& response);
     void settle(caller_task const& task, http_response const& response);
@@ -177,19 +177,19 @@
         }
     }
     dispatcher_hooks hooks;
-    hooks.send = [this, &vm](attempt_order order) { send(vm, std::move(order)); };
+    hooks.send = [this, &vm](outgoing_attempt order) { send(vm, std::move(order)); };
     hooks.cancel = [&vm](attempt_id id) {
         if (auto const found = vm.jobs.find(id.value()); found != vm.jobs.end()) {
             found->second->cancelled = true;
             vm.jobs.erase(found);
         }
     };
-    hooks.answer = [this, &vm](request_key key, http_response response) { answered(vm, key, response); };
-    hooks.finished = [](request_summary const&) {};
+    hooks.respond = [this, &vm](request_key key, http_response response) { answered(vm, key, response); };
+    hooks.on_finished = [](request_summary const&) {};
     vm.requests = std::make_unique<dispatcher>(m_deployment.options, vm.configs, *vm.registry, vm.places, vm.quarantine,
                                                std::move(hooks), m_random());
 
-    vm.requests->set_vms(static_cast<std::size_t>(m_deployment.vms));
+    vm.requests->set_vm_count(static_cast<std::size_t>(m_deployment.vms));
 }
 
 void model::wake(gateway_vm& vm)
@@ -200,7 +200,7 @@
     m_todo.at(vm.wake, [this, &vm, when = vm.wake] {
         if (vm.wake != when) return;
         vm.wake = time_point::max();
-        vm.requests->on_time(m_todo.now());
+        vm.requests->on_timer(m_todo.now());
         wake(vm);
     });
 }
@@ -213,7 +213,7 @@
     return std::bernoulli_distribution(kind.tail_share)(m_random) ? drawn * kind.tail_factor : drawn;
 }
 
-void model::send(gateway_vm& vm, attempt_order order)
+void model::send(gateway_vm& vm, outgoing_attempt order)
 {
     auto const index = m_server_index.at(order.target->entry.id.value());
     std::size_t region = 0;
@@ -228,7 +228,7 @@
                                    [&](auto const& k) { return k.name == name; });
     auto work = std::make_shared<job>();
     work->work_ms = draw_work(*kind);
-    if (order.caller_id == crashing_path) work->crashes = [this] { on_crashed(); };
+    if (order.request_id == crashing_path) work->crashes = [this] { on_crashed(); };
     work->done = [this, &vm, id = order.id, way, life = vm.life](attempt_end end) {
         m_todo.at(m_todo.now() + way, [this, &vm, id, end, life] {
             if (vm.life != life || vm.jobs.erase(id.value()) == 0) return;
--- a/src/gateway/backend_pool.cpp
+++ b/src/gateway/backend_pool.cpp
@@ -39,10 +39,10 @@
     std::uint64_t opened = 0;                                                    ///< Connections opened.
     timer_id sweep_timer;                                                        ///< Next sweep.
 
-    std::unique_ptr<client_connection> take_idle(attempt_order const& order);
+    std::unique_ptr<client_connection> take_idle(outgoing_attempt const& order);
     /** @return the request with the time left at @p now, or nothing when none is left. */
-    std::string write_request(attempt_order const& order, time_point now) const;
-    void send(attempt_order order);
+    std::string write_request(outgoing_attempt const& order, time_point now) const;
+    void send(outgoing_attempt order);
     void connect_hangs(attempt_id id);
     void done(attempt_id id, exchange_result result);
     attempt_result classify(exchange_result result) const;
@@ -52,7 +52,7 @@
     void sweep();
 };
 
-std::unique_ptr<client_connection> backend_pool::impl::take_idle(attempt_order const& order)
+std::unique_ptr<client_connection> backend_pool::impl::take_idle(outgoing_attempt const& order)
 {
     auto const found = idle.find(order.target);
     if (found == idle.end()) return nullptr;
@@ -62,7 +62,7 @@
         auto connection = std::move(kept.back()); // The one used last is the least likely to be dead.
         kept.pop_back();
         if (!connection->reusable() || connection->kept_until() < now + kept_margin) continue;
-        if (!order.repeatable && connection->idle_since() + options.fresh_enough < now) continue;
+        if (!order.idempotent && connection->idle_since() + options.fresh_enough < now) continue;
         connection->on_idle_end(nullptr);
         return connection;
     }
@@ -73,14 +73,14 @@
  * The backend server is told the time that is left when the request arrives, not when it is written: on a
  * full link these are far apart, and backend servers would work for callers that have gone.
  */
-std::string backend_pool::impl::write_request(attempt_order const& order, time_point now) const
+std::string backend_pool::impl::write_request(outgoing_attempt const& order, time_point now) const
 {
-    auto const left = std::chrono::duration_cast<milliseconds>(order.give_up - now - loop.uplink_wait());
+    auto const left = std::chrono::duration_cast<milliseconds>(order.caller_deadline - now - loop.uplink_wait());
     if (left.count() <= 0) return {};
     return order.head + options.names.deadline + ": " + std::to_string(left.count()) + "\r\n\r\n" + order.body;
 }
 
-void backend_pool::impl::send(attempt_order order)
+void backend_pool::impl::send(outgoing_attempt order)
 {
     active entry;
     auto const id = order.id;
@@ -95,7 +95,7 @@
     }
     client_connection::exchange exchange;
     exchange.head = order.head_request;
-    exchange.matches = [this, expected = std::move(order.caller_id)](http_response const& response) {
+    exchange.matches = [this, expected = std::move(order.request_id)](http_response const& response) {
         auto const echoed = response.header(options.names.request_id);
         return echoed.empty() || echoed == expected ? client_connection::match::mine : client_connection::match::other;
     };
@@ -209,7 +209,7 @@
 
 backend_pool::~backend_pool() { m_impl->loop.cancel(m_impl->sweep_timer); }
 
-void backend_pool::send(attempt_order order) { m_impl->send(std::move(order)); }
+void backend_pool::send(outgoing_attempt order) { m_impl->send(std::move(order)); }
 
 void backend_pool::cancel(attempt_id id)
 {
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -20,21 +20,21 @@
 void gateway::impl::make_dispatcher()
 {
     pool = std::make_unique<backend_pool>(loop, settings.pool, [this](attempt_id id, attempt_result result) {
-        metrics.on_attempt(result.end);
+        metrics.on_attempt(result.outcome);
         requests->on_result(id, std::move(result), loop.now());
         wake_dispatcher();
     });
     dispatcher_hooks hooks;
-    hooks.send = [this](attempt_order order) { pool->send(std::move(order)); };
+    hooks.send = [this](outgoing_attempt order) { pool->send(std::move(order)); };
     hooks.cancel = [this](attempt_id id) { pool->cancel(id); };
-    hooks.answer = [this](request_key key, http_response response) { callers->answer(key, std::move(response)); };
-    hooks.finished = [this](request_summary const& summary) {
+    hooks.respond = [this](request_key key, http_response response) { callers->answer(key, std::move(response)); };
+    hooks.on_finished = [this](request_summary const& summary) {
         metrics.on_request(summary);
         log.on_request(summary, followers.age());
     };
     requests = std::make_unique<dispatcher>(settings.dispatch, configs, registry, places, quarantine, std::move(hooks),
                                             random());
-    requests->set_vms(least_vms);
+    requests->set_vm_count(least_vms);
 }
 
 void gateway::impl::make_callers()
@@ -43,7 +43,7 @@
     hooks.on_request = [this](caller_request request) { on_request(std::move(request)); };
     hooks.on_gone = [this](request_key key) {
         followers.forget(key);
-        requests->caller_gone(key, loop.now());
+        requests->on_caller_disconnected(key, loop.now());
         wake_dispatcher();
     };
     hooks.limits = [this] { return configs.current() ? configs.current()->limits() : caller_limits{}; };
@@ -64,7 +64,7 @@
     dispatch_due = *next;
     dispatch_timer = loop.run_at(dispatch_due, [this] {
         dispatch_due = time_point::max();
-        requests->on_time(loop.now());
+        requests->on_timer(loop.now());
         wake_dispatcher();
     });
 }
@@ -158,7 +158,7 @@
     }
     bool const idle = stopped_accepting && requests->open_requests() == 0 && callers->connections() == 0;
     if (idle || now >= stop_began + settings.stop_limit) {
-        requests->abandon_all(now);
+        requests->finish_all(now);
         loop.run_at(now + stop_poll, [this] { loop.stop(); });
         return;
     }
--- a/src/gateway/gateway_log.cpp
+++ b/src/gateway/gateway_log.cpp
@@ -39,27 +39,27 @@
 /** @return whether the inputs of a request's decisions are logged: those of one that went well are left out. */
 bool needs_details(request_summary const& summary)
 {
-    return summary.status != 200 || summary.answered < summary.shards || summary.retries > 0;
+    return summary.status != 200 || summary.shards_answered < summary.shards || summary.retries > 0;
 }
 
 /** Appends what decided about a request: admission, second attempts and those denied. */
 void append_details(std::string& line, request_summary const& summary)
 {
-    if (summary.wait_ms > 0 || summary.admitted_share < 1) {
-        append_number(line, "wait_ms", static_cast<std::int64_t>(summary.wait_ms));
+    if (summary.admission_wait_ms > 0 || summary.admitted_share < 1) {
+        append_number(line, "wait_ms", static_cast<std::int64_t>(summary.admission_wait_ms));
         append_number(line, "coverable_percent", static_cast<std::int64_t>(summary.coverable_share * 100));
         append_number(line, "admitted_percent", static_cast<std::int64_t>(summary.admitted_share * 100));
     }
     if (summary.no_home > 0) append_number(line, "no_home", summary.no_home);
     if (summary.evacuated > 0) append_number(line, "evacuated", summary.evacuated);
     if (summary.cold > 0) append_number(line, "cold", summary.cold);
-    if (!summary.extra.empty()) {
+    if (!summary.extra_attempts.empty()) {
         line += ",\"extra\":";
-        append_quoted(line, summary.extra);
+        append_quoted(line, summary.extra_attempts);
     }
     if (summary.hedges_denied == 0) return;
     append_number(line, "hedges_denied", summary.hedges_denied);
-    line.append(",\"denied\":\"").append(summary.denied).append("\"");
+    line.append(",\"denied\":\"").append(summary.hedge_denied_reason).append("\"");
 }
 
 /** @return the name of @p kind in a log line. */
@@ -116,7 +116,7 @@
     // The only frequent line, so it is put together by hand: a JSON object costs several times as much, a
     // noticeable part of the processor time of a request.
     std::string line = "{\"event\":\"request\",\"id\":";
-    append_quoted(line, summary.caller_id);
+    append_quoted(line, summary.request_id);
     line += ",\"route\":";
     append_quoted(line, summary.route_name);
     append_number(line, "config", summary.version.value());
@@ -124,25 +124,25 @@
     append_number(line, "status", summary.status);
     line += ",\"reason\":\"";
     line += summary.reason;
-    line += "\",\"ms\":" + std::to_string(summary.took.count() / 1000) + "." +
-            std::to_string(summary.took.count() % 1000 / 100);
-    append_number(line, "spent_ms", summary.spent.count());
+    line += "\",\"ms\":" + std::to_string(summary.duration.count() / 1000) + "." +
+            std::to_string(summary.duration.count() % 1000 / 100);
+    append_number(line, "spent_ms", summary.caller_time_spent.count());
     append_number(line, "shards", static_cast<std::int64_t>(summary.shards));
-    append_number(line, "answered", static_cast<std::int64_t>(summary.answered));
-    append_number(line, "sent", summary.sent);
+    append_number(line, "answered", static_cast<std::int64_t>(summary.shards_answered));
+    append_number(line, "sent", summary.attempts);
     append_number(line, "hedges", summary.hedges);
     append_number(line, "retries", summary.retries);
     if (summary.failed_attempts > 0) {
         append_number(line, "failed_attempts", summary.failed_attempts);
         line += ",\"failures\":";
-        append_quoted(line, summary.failures);
+        append_quoted(line, summary.failure_details);
     }
     if (!summary.digest.value().empty()) {
         append_number(line, "disconnects", summary.disconnects);
-        line.append(",\"cautious\":").append(summary.cautious ? "true" : "false");
+        line.append(",\"cautious\":").append(summary.sequential ? "true" : "false");
         line.append(",\"digest\":\"").append(summary.digest.value());
         line.append("\",\"caller\":\"").append(summary.caller.value()).append("\",\"line\":");
-        append_quoted(line, summary.line);
+        append_quoted(line, summary.request_line);
     }
     if (needs_details(summary)) append_details(line, summary);
     if (m_left_out > 0) append_number(line, "left_out", static_cast<std::int64_t>(std::exchange(m_left_out, 0)));
--- a/src/gateway/gateway_metrics.cpp
+++ b/src/gateway/gateway_metrics.cpp
@@ -41,7 +41,7 @@
 {
     m_requests.Add({{"route", summary.route_name}, {"outcome", summary.reason}}).Increment();
     m_latency.Add({{"route", summary.route_name}}, latency_buckets)
-        .Observe(std::chrono::duration<double>(summary.took).count());
+        .Observe(std::chrono::duration<double>(summary.duration).count());
     if (summary.hedges > 0) m_extra.Add({{"kind", "hedge"}}).Increment(summary.hedges);
     if (summary.no_home > 0) m_unplaced.Add({{"rule", "home"}}).Increment(summary.no_home);
     if (summary.evacuated > 0) m_unplaced.Add({{"rule", "evacuation"}}).Increment(summary.evacuated);
--- a/src/gateway/gateway_state.cpp
+++ b/src/gateway/gateway_state.cpp
@@ -194,7 +194,7 @@
     active = choose_active(members, most);
     // Those that callers are not sent to see next to no requests; one that is not active counts itself among all.
     auto const sharing = active.contains(member_key()) ? active.size() : members.size();
-    requests->set_vms(std::max(sharing, least_vms));
+    requests->set_vm_count(std::max(sharing, least_vms));
     places.shares().set_sharers(active, member_key(), loop.now());
 }
 
--- a/tests/dispatcher_fixture.hpp
+++ b/tests/dispatcher_fixture.hpp
@@ -23,10 +23,12 @@
         if (config != nullptr) configs.offer(config_of(1, {"g0", "g1", "g2", "g3"}));
         options.names = {"request-id", "deadline", "target", "signature", "not-run", "warmup", "parts", "missing"};
         dispatcher_hooks hooks;
-        hooks.send = [this](attempt_order order) { sent.push_back(std::move(order)); };
+        hooks.send = [this](outgoing_attempt order) { sent.push_back(std::move(order)); };
         hooks.cancel = [this](attempt_id id) { cancelled.insert(id.value()); };
-        hooks.answer = [this](request_key key, http_response response) { answers[key.value()] = std::move(response); };
-        hooks.finished = [this](request_summary const& summary) { finished.push_back(summary); };
+        hooks.respond = [this](request_key key, http_response response) {
+            responses[key.value()] = std::move(response);
+        };
+        hooks.on_finished = [this](request_summary const& summary) { finished.push_back(summary); };
         requests = std::make_unique<dispatcher>(std::move(options), configs, registry, places, quarantine,
                                                 std::move(hooks), 1);
     }
@@ -84,12 +86,15 @@
         message.headers = {{"host", "h.example"}, {"request-id", id}};
         message.headers.insert(message.headers.end(), headers.begin(), headers.end());
         request_key const key(++last_key);
-        requests->start(key, std::move(message), {waited, round_trip}, caller, now);
+        requests->start(key, std::move(message), {max_unread, round_trip}, caller, now);
         return key;
     }
 
     /** Ends attempt @p index without an answer. */
-    void end(std::size_t index, attempt_end how) { requests->on_result(sent[index].id, {how, {}, "test"}, now); }
+    void finish_attempt(std::size_t index, attempt_end how)
+    {
+        requests->on_result(sent[index].id, {how, {}, "test"}, now);
+    }
 
     /** Answers attempt @p index. */
     void respond(std::size_t index, http_response response)
@@ -112,34 +117,34 @@
     {
         for (auto const until = now + by; now < until;) {
             now += std::chrono::milliseconds(1);
-            requests->on_time(now);
+            requests->on_timer(now);
         }
     }
 
     /** @return whether the request was answered. */
-    bool answered(request_key key) const { return answers.contains(key.value()); }
+    bool has_response(request_key key) const { return responses.contains(key.value()); }
     /** @return the answer. */
-    http_response const& answer(request_key key) const
+    http_response const& response_to(request_key key) const
     {
-        REQUIRE(answered(key));
-        return answers.at(key.value());
+        REQUIRE(has_response(key));
+        return responses.at(key.value());
     }
 
-    time_point begin{std::chrono::seconds(1000)};   ///< Start of the test.
-    time_point now = begin;                         ///< Virtual time.
-    config_holder configs;                          ///< Configuration.
-    backend_registry registry;                      ///< Backend servers.
-    place_rules places;                             ///< Which of them a request may reach.
-    request_quarantine quarantine;                  ///< Requests that crash backend servers.
-    clock::duration waited{0};                      ///< Time that requests have waited unread.
-    clock::duration round_trip{0};                  ///< Time on the network of the requests.
-    caller_address caller{"192.0.2.1"};             ///< Who sends them.
-    std::vector<attempt_order> sent;                ///< Attempts in order.
-    std::set<std::uint64_t> cancelled;              ///< Attempts given up.
-    std::map<std::uint64_t, http_response> answers; ///< By request key.
-    std::vector<request_summary> finished;          ///< Requests that ended.
-    std::uint64_t last_key = 0;                     ///< Last key.
-    std::unique_ptr<dispatcher> requests;           ///< Under test.
+    time_point start_time{std::chrono::seconds(1000)}; ///< Start of the test.
+    time_point now = start_time;                       ///< Virtual time.
+    config_holder configs;                             ///< Configuration.
+    backend_registry registry;                         ///< Backend servers.
+    place_rules places;                                ///< Which of them a request may reach.
+    request_quarantine quarantine;                     ///< Requests that crash backend servers.
+    clock::duration max_unread{0};                     ///< Time that requests have waited unread.
+    clock::duration round_trip{0};                     ///< Time on the network of the requests.
+    caller_address caller{"192.0.2.1"};                ///< Who sends them.
+    std::vector<outgoing_attempt> sent;                ///< Attempts in order.
+    std::set<std::uint64_t> cancelled;                 ///< Attempts given up.
+    std::map<std::uint64_t, http_response> responses;  ///< By request key.
+    std::vector<request_summary> finished;             ///< Requests that ended.
+    std::uint64_t last_key = 0;                        ///< Last key.
+    std::unique_ptr<dispatcher> requests;              ///< Under test.
 };
 
 } // namespace cornelspring
--- a/tests/test_busy_process.cpp
+++ b/tests/test_busy_process.cpp
@@ -18,7 +18,7 @@
     {
         caller_server::hooks hooks;
         hooks.on_request = [this](caller_request request) {
-            waited.push_back(request.timing.waited);
+            waited.push_back(request.timing.max_unread);
             deadlines.push_back(request.message.header("deadline"));
             http_response response;
             response.headers = {{"signature", "s"}};
@@ -40,13 +40,13 @@
     /** Sends a request whose caller waits for @p time from now on. */
     void send(std::chrono::milliseconds time)
     {
-        attempt_order order;
+        outgoing_attempt order;
         order.id = attempt_id(++sent);
         order.target = std::make_shared<backend_server>();
         order.target->entry.id = backend_id("b");
         order.target->entry.address = address;
         order.head = "GET /x HTTP/1.1\r\nhost: h\r\n";
-        order.give_up = clock::now() + time;
+        order.caller_deadline = clock::now() + time;
         pool->send(std::move(order));
     }
 
@@ -71,7 +71,7 @@
     REQUIRE(process.deadlines.size() == 1);
     CHECK(std::stoi(process.deadlines[0]) <= 800);
     CHECK(std::stoi(process.deadlines[0]) > 300);
-    CHECK(process.results.at(0).end == attempt_end::answered);
+    CHECK(process.results.at(0).outcome == attempt_end::answered);
 }
 
 TEST_CASE("busy process: a request whose time is up before it can leave is not sent")
@@ -81,7 +81,7 @@
     std::this_thread::sleep_for(100ms);
     process.loop.run();
     CHECK(process.deadlines.empty());
-    CHECK(process.results.at(0).end == attempt_end::not_sent);
+    CHECK(process.results.at(0).outcome == attempt_end::not_sent);
 }
 
 TEST_CASE("busy process: time for which requests may have waited unread is counted")
@@ -104,12 +104,12 @@
 TEST_CASE("busy process: what a request has waited is taken off the time of its caller")
 {
     dispatcher_fixture fleet;
-    fleet.waited = 300ms;
+    fleet.max_unread = 300ms;
     fleet.start("/plain/x", "id1", {{"deadline", "800"}});
     REQUIRE(fleet.sent.size() == 1);
-    CHECK(fleet.sent[0].give_up == fleet.now + 500ms);
+    CHECK(fleet.sent[0].caller_deadline == fleet.now + 500ms);
     auto const late = fleet.start("/plain/x", "id2", {{"deadline", "310"}});
-    CHECK(fleet.answer(late).status == 503);
+    CHECK(fleet.response_to(late).status == 503);
     CHECK(fleet.sent.size() == 1);
 }
 
@@ -119,7 +119,7 @@
     auto const key = fleet.start("/gather/x", "id1");
     REQUIRE(fleet.sent.size() == 4);
     fleet.now += 150ms; // The process did nothing for longer than any hedge delay.
-    fleet.requests->on_time(fleet.now);
+    fleet.requests->on_timer(fleet.now);
     CHECK(fleet.sent.size() == 4);
     for (std::size_t i = 0; i < 3; ++i)
         fleet.respond(i, 200, std::string(16, 'a'));
@@ -133,7 +133,7 @@
         fleet.respond(3, 200, std::string(16, 'a'));
         fleet.advance(2ms);
         CHECK(fleet.sent.size() == 4);
-        CHECK(fleet.answer(key).status == 200);
+        CHECK(fleet.response_to(key).status == 200);
     }
 }
 
--- a/tests/test_caller_time.cpp
+++ b/tests/test_caller_time.cpp
@@ -22,7 +22,7 @@
     auto const key = fleet.start("/gather/x", id, headers);
     for (std::size_t i = 0; i < 3; ++i)
         fleet.respond(first + i, 200, std::string(16, 'a'));
-    while (!fleet.answered(key) && fleet.now < begun + 2s)
+    while (!fleet.has_response(key) && fleet.now < begun + 2s)
         fleet.advance(1ms);
     return std::chrono::duration_cast<std::chrono::milliseconds>(fleet.now - begun);
 }
--- a/tests/test_caution.cpp
+++ b/tests/test_caution.cpp
@@ -13,14 +13,14 @@
 {
     return static_cast<std::size_t>(
         std::count_if(fleet.sent.begin() + static_cast<std::ptrdiff_t>(from), fleet.sent.end(),
-                      [&](attempt_order const& order) { return !fleet.cancelled.contains(order.id.value()); }));
+                      [&](outgoing_attempt const& order) { return !fleet.cancelled.contains(order.id.value()); }));
 }
 
 /** Crashes every backend server that runs the request, until it has an answer. */
 void crash_all(dispatcher_fixture& fleet, request_key key, std::size_t from)
 {
-    for (auto i = from; i < fleet.sent.size() && !fleet.answered(key); ++i) {
-        if (!fleet.cancelled.contains(fleet.sent[i].id.value())) fleet.end(i, attempt_end::disconnected);
+    for (auto i = from; i < fleet.sent.size() && !fleet.has_response(key); ++i) {
+        if (!fleet.cancelled.contains(fleet.sent[i].id.value())) fleet.finish_attempt(i, attempt_end::disconnected);
         fleet.advance(20ms);
     }
 }
@@ -32,21 +32,21 @@
     dispatcher_fixture fleet;
     auto const key = fleet.start("/gather/x", "id1");
     REQUIRE(fleet.sent.size() == 4);
-    fleet.end(0, attempt_end::disconnected);
+    fleet.finish_attempt(0, attempt_end::disconnected);
     CHECK(fleet.sent.size() == 4); // The three others tell soon whether the query is to blame.
-    fleet.end(1, attempt_end::disconnected);
+    fleet.finish_attempt(1, attempt_end::disconnected);
     CHECK(fleet.cancelled.size() == 2);
     REQUIRE(fleet.sent.size() == 5);
-    fleet.end(4, attempt_end::disconnected);
-    CHECK(fleet.answer(key).status == 502);
+    fleet.finish_attempt(4, attempt_end::disconnected);
+    CHECK(fleet.response_to(key).status == 502);
     CHECK(fleet.sent.size() == 5);
     CHECK(fleet.finished.back().reason == std::string("crashed_servers"));
 
     // The same query is refused at once, truly not run, until the quarantine ends; another one is not.
     fleet.caller = caller_address("192.0.2.7"); // Backend servers see nothing of the caller's address.
     auto const again = fleet.start("/gather/x", "id2");
-    CHECK(fleet.answer(again).status == 503);
-    CHECK(std::stod(fleet.answer(again).header("retry-after")) == 60);
+    CHECK(fleet.response_to(again).status == 503);
+    CHECK(std::stod(fleet.response_to(again).header("retry-after")) == 60);
     CHECK(fleet.sent.size() == 5);
     fleet.start("/gather/y", "id3");
     CHECK(fleet.sent.size() == 9);
@@ -56,19 +56,19 @@
 {
     dispatcher_fixture fleet;
     auto const key = fleet.start("/gather/x", "id1");
-    fleet.end(0, attempt_end::disconnected);
+    fleet.finish_attempt(0, attempt_end::disconnected);
     SUBCASE("after one loss, as soon as another shard has answered") { fleet.respond(1, 200, std::string(16, 'a')); }
     SUBCASE("after two losses, as soon as one server has answered")
     {
-        fleet.end(1, attempt_end::disconnected);
+        fleet.finish_attempt(1, attempt_end::disconnected);
         REQUIRE(fleet.sent.size() == 5);
         fleet.respond(4, 200, std::string(16, 'a'));
     }
     for (std::size_t i = 2; i < fleet.sent.size(); ++i) {
         if (!fleet.cancelled.contains(fleet.sent[i].id.value())) fleet.respond(i, 200, std::string(16, 'a'));
     }
-    CHECK(fleet.answer(key).status == 200);
-    CHECK(fleet.answer(key).header("missing") == "0");
+    CHECK(fleet.response_to(key).status == 200);
+    CHECK(fleet.response_to(key).header("missing") == "0");
     CHECK(fleet.quarantine.standing(fleet.finished.back().digest, fleet.now) == request_standing::clear);
 }
 
@@ -76,7 +76,7 @@
 {
     dispatcher_fixture fleet;
     fleet.start("/gather/x", "id1");
-    fleet.end(0, attempt_end::disconnected);
+    fleet.finish_attempt(0, attempt_end::disconnected);
     fleet.advance(150ms);
     CHECK(fleet.sent.size() == 4);
     fleet.respond(1, 200, std::string(16, 'a'));
@@ -94,12 +94,12 @@
         for (; repetitions < 10; ++repetitions) {
             auto const before = fleet.sent.size();
             auto const key = fleet.start(path, "id");
-            if (fleet.answered(key)) {
-                CHECK(fleet.answer(key).status == 503);
+            if (fleet.has_response(key)) {
+                CHECK(fleet.response_to(key).status == 503);
                 break;
             }
             crash_all(fleet, key, before);
-            CHECK(fleet.answer(key).status == 502);
+            CHECK(fleet.response_to(key).status == 502);
         }
         CHECK(fleet.sent.size() == 3);
         CHECK(repetitions <= 3);
@@ -112,54 +112,54 @@
     options.by_coverage = false; // The shards that could not be reached would have queries refused.
     dispatcher_fixture fleet(options);
     auto const first = fleet.start("/gather/x", "id1");
-    fleet.end(0, attempt_end::disconnected);
-    fleet.end(1, attempt_end::disconnected);
-    fleet.end(4, attempt_end::not_sent);
-    for (int i = 0; i < 30 && !fleet.answered(first); ++i) {
+    fleet.finish_attempt(0, attempt_end::disconnected);
+    fleet.finish_attempt(1, attempt_end::disconnected);
+    fleet.finish_attempt(4, attempt_end::not_sent);
+    for (int i = 0; i < 30 && !fleet.has_response(first); ++i) {
         for (std::size_t each = 5; each < fleet.sent.size(); ++each)
-            fleet.end(each, attempt_end::not_sent);
+            fleet.finish_attempt(each, attempt_end::not_sent);
         fleet.advance(20ms);
     }
-    CHECK(fleet.answer(first).status == 502);
+    CHECK(fleet.response_to(first).status == 502);
     auto const before = fleet.sent.size();
 
     REQUIRE(fleet.quarantine.told(fleet.now).size() == 1);
     auto const trial = fleet.start("/gather/x", "id2");
     REQUIRE(fleet.sent.size() == before + 1);
     auto const meanwhile = fleet.start("/gather/x", "id3");
-    CHECK(fleet.answer(meanwhile).status == 503);
+    CHECK(fleet.response_to(meanwhile).status == 503);
     SUBCASE("an answer clears it, and all shards are asked")
     {
         fleet.respond(before, 200, std::string(16, 'a'));
         CHECK(fleet.sent.size() == before + 4);
         for (auto i = before + 1; i < before + 4; ++i)
             fleet.respond(i, 200, std::string(16, 'a'));
-        CHECK(fleet.answer(trial).status == 200);
+        CHECK(fleet.response_to(trial).status == 200);
         fleet.start("/gather/x", "id4");
         CHECK(fleet.sent.size() == before + 8);
     }
     SUBCASE("one more crash puts it into quarantine")
     {
-        fleet.end(before, attempt_end::disconnected);
-        CHECK(fleet.answer(trial).status == 502);
-        CHECK(fleet.answer(fleet.start("/gather/x", "id4")).status == 503);
+        fleet.finish_attempt(before, attempt_end::disconnected);
+        CHECK(fleet.response_to(trial).status == 502);
+        CHECK(fleet.response_to(fleet.start("/gather/x", "id4")).status == 503);
         CHECK(fleet.sent.size() == before + 1);
     }
     SUBCASE("a server that refuses says nothing of it")
     {
-        fleet.end(before, attempt_end::not_executed);
+        fleet.finish_attempt(before, attempt_end::not_executed);
         fleet.advance(20ms);
         CHECK(under_way(fleet, before + 1) == 1);
     }
     SUBCASE("a caller that leaves during the trial does not get it tried again and again")
     {
         // Two crashes are known; a third is needed.
-        fleet.end(before, attempt_end::disconnected);
+        fleet.finish_attempt(before, attempt_end::disconnected);
         auto const digest = fleet.finished.back().digest;
         fleet.advance(60s);
         CHECK(fleet.quarantine.standing(digest, fleet.now) == request_standing::suspect);
         auto const second = fleet.start("/gather/x", "id5");
-        fleet.requests->caller_gone(second, fleet.now);
+        fleet.requests->on_caller_disconnected(second, fleet.now);
         CHECK(fleet.quarantine.standing(digest, fleet.now) == request_standing::quarantined);
     }
 }
@@ -172,7 +172,7 @@
     message.headers = {{"host", "h.example"}};
     auto const digest = digest_of(message);
     fleet.quarantine.learn("gw", {{digest, 3, 1, milliseconds(30000)}}, fleet.now);
-    CHECK(fleet.answer(fleet.start("/plain/x", "id1")).status == 503);
+    CHECK(fleet.response_to(fleet.start("/plain/x", "id1")).status == 503);
     CHECK(fleet.sent.empty());
     CHECK(fleet.finished.back().reason == std::string("quarantined"));
 }
@@ -191,7 +191,7 @@
         fleet.respond(i, 200, std::string(16, 'a'));
     auto const unlucky = fleet.start("/gather/common", "id2");
     crash_all(fleet, unlucky, 4);
-    CHECK(fleet.answer(unlucky).status == 502);
+    CHECK(fleet.response_to(unlucky).status == 502);
 
     SUBCASE("here") {}
     SUBCASE("when another gateway says so")
@@ -208,7 +208,7 @@
     auto const before = fleet.sent.size();
     auto const next = fleet.start("/gather/common", "id4");
     CHECK(fleet.sent.size() == before + 4);
-    CHECK_FALSE(fleet.answered(next));
+    CHECK_FALSE(fleet.has_response(next));
     // Servers may change: what was answered long ago says nothing.
     fleet.advance(40s);
     auto const later = fleet.sent.size();
--- a/tests/test_dispatcher.cpp
+++ b/tests/test_dispatcher.cpp
@@ -8,10 +8,10 @@
 {
     dispatcher_fixture fleet({}, nullptr);
     auto const key = fleet.start("/any/", "id1");
-    CHECK(fleet.answer(key).status == 503);
+    CHECK(fleet.response_to(key).status == 503);
     // The configuration is there within 0.1 s; a caller who waits for 0.8 s comes back after a third of it at the
     // latest.
-    auto const seconds = std::stod(fleet.answer(key).header("retry-after"));
+    auto const seconds = std::stod(fleet.response_to(key).header("retry-after"));
     CHECK(seconds >= 0.1);
     CHECK(seconds <= 0.8 / 3);
 }
@@ -19,7 +19,9 @@
 TEST_CASE("dispatcher: the longer no configuration can be had, the later callers are told to come back")
 {
     dispatcher_fixture fleet({}, nullptr);
-    auto const told = [&fleet] { return std::stod(fleet.answer(fleet.start("/any/", "id")).header("retry-after")); };
+    auto const told = [&fleet] {
+        return std::stod(fleet.response_to(fleet.start("/any/", "id")).header("retry-after"));
+    };
     CHECK(told() <= 0.2);
     fleet.advance(std::chrono::milliseconds(500));
     auto const after_half_a_second = told();
@@ -35,7 +37,7 @@
 {
     dispatcher_fixture fleet;
     auto const key = fleet.start("/nowhere/", "id1");
-    CHECK(fleet.answer(key).status == 404);
+    CHECK(fleet.response_to(key).status == 404);
     CHECK(fleet.sent.empty());
 }
 
@@ -52,8 +54,8 @@
     CHECK(bytes.find("x-hop") == std::string::npos);
     CHECK(bytes.find("target: " + fleet.sent[0].target->entry.id.value() + "\r\n") != std::string::npos);
     CHECK(bytes.find("forged") == std::string::npos);
-    CHECK(bytes.find("deadline") == std::string::npos); // Written when the request leaves, from give_up.
-    CHECK(fleet.sent[0].give_up == fleet.now + 800ms);
+    CHECK(bytes.find("deadline") == std::string::npos); // Written when the request leaves, from caller_deadline.
+    CHECK(fleet.sent[0].caller_deadline == fleet.now + 800ms);
 }
 
 TEST_CASE("dispatcher: what a failed attempt leads to")
@@ -74,14 +76,14 @@
         dispatcher_fixture fleet;
         auto const key = fleet.start(each.path, "id1");
         REQUIRE(fleet.sent.size() == 1);
-        fleet.end(0, each.end);
+        fleet.finish_attempt(0, each.end);
         CHECK((fleet.sent.size() == 2) == each.sent_again);
         for (std::size_t i = 1; i < fleet.sent.size() && i < 20; ++i) {
-            fleet.end(i, each.end);
+            fleet.finish_attempt(i, each.end);
             fleet.advance(20ms);
         }
-        CHECK(fleet.answer(key).status == each.status);
-        if (each.status == 503) CHECK(fleet.answer(key).header("retry-after") != "");
+        CHECK(fleet.response_to(key).status == each.status);
+        if (each.status == 503) CHECK(fleet.response_to(key).header("retry-after") != "");
     }
 }
 
@@ -92,7 +94,7 @@
         auto const key = fleet.start("/write/", "id1");
         fleet.respond(0, status, "body");
         CHECK(fleet.sent.size() == 1);
-        CHECK(fleet.answer(key).status == 502);
+        CHECK(fleet.response_to(key).status == 502);
     }
 }
 
@@ -105,8 +107,8 @@
     fleet.respond(0, forged);
     CHECK(fleet.sent.size() == 2);
     fleet.respond(1, 200, "whole");
-    CHECK(fleet.answer(key).status == 200);
-    CHECK(fleet.answer(key).body == "whole");
+    CHECK(fleet.response_to(key).status == 200);
+    CHECK(fleet.response_to(key).body == "whole");
 }
 
 TEST_CASE("dispatcher: a gathered answer names its parts and what is missing")
@@ -116,11 +118,11 @@
     REQUIRE(fleet.sent.size() == 4);
     for (std::size_t i = 0; i < 3; ++i)
         fleet.respond(i, 200, std::string(16, static_cast<char>('a' + i)));
-    CHECK_FALSE(fleet.answered(key));
+    CHECK_FALSE(fleet.has_response(key));
     SUBCASE("whole")
     {
         fleet.respond(3, 200, std::string(16, 'z'));
-        auto const& answer = fleet.answer(key);
+        auto const& answer = fleet.response_to(key);
         CHECK(answer.status == 200);
         CHECK(answer.header("missing") == "0");
         CHECK(answer.body == std::string(16, 'z') + std::string(16, 'c'));
@@ -129,17 +131,17 @@
     SUBCASE("at its time a sufficient answer goes out")
     {
         fleet.advance(188ms);
-        CHECK_FALSE(fleet.answered(key));
+        CHECK_FALSE(fleet.has_response(key));
         fleet.advance(2ms); // goal 200 ms, margin 11 ms
-        CHECK(fleet.answer(key).header("missing") == "1");
+        CHECK(fleet.response_to(key).header("missing") == "1");
     }
     SUBCASE("a shard that fails for good does not hold up the others")
     {
         for (std::size_t i = 3; i < fleet.sent.size() && i < 20; ++i) {
-            fleet.end(i, attempt_end::not_sent);
+            fleet.finish_attempt(i, attempt_end::not_sent);
             fleet.advance(16ms);
         }
-        CHECK(fleet.answer(key).header("missing") == "1");
+        CHECK(fleet.response_to(key).header("missing") == "1");
     }
 }
 
@@ -147,10 +149,10 @@
 {
     dispatcher_fixture fleet;
     auto const key = fleet.start("/gather/", "id1");
-    for (std::size_t i = 0; i < fleet.sent.size() && i < 40 && !fleet.answered(key); ++i)
-        fleet.end(i, attempt_end::lost);
-    CHECK(fleet.answer(key).status == 502);
-    CHECK(fleet.now < fleet.begin + 100ms);
+    for (std::size_t i = 0; i < fleet.sent.size() && i < 40 && !fleet.has_response(key); ++i)
+        fleet.finish_attempt(i, attempt_end::lost);
+    CHECK(fleet.response_to(key).status == 502);
+    CHECK(fleet.now < fleet.start_time + 100ms);
 }
 
 TEST_CASE("dispatcher: without a backend server a query is refused on arrival")
@@ -160,7 +162,7 @@
         if (id.value().starts_with("g0") || id.value().starts_with("g1")) fleet.registry.remove(id, fleet.now);
     }
     auto const key = fleet.start("/gather/", "id1");
-    CHECK(fleet.answer(key).status == 503);
+    CHECK(fleet.response_to(key).status == 503);
     CHECK(fleet.sent.empty());
 }
 
@@ -176,7 +178,7 @@
     fleet.advance(50ms);
     CHECK(fleet.sent.size() == 5);
     fleet.respond(4, 200, std::string(16, 'b'));
-    CHECK(fleet.answer(key).header("missing") == "0");
+    CHECK(fleet.response_to(key).header("missing") == "0");
     fleet.advance(400ms);
     CHECK(fleet.cancelled == std::set<std::uint64_t>{fleet.sent[3].id.value()});
     CHECK(fleet.sent[3].target->load.in_flight() == 0);
@@ -208,18 +210,18 @@
     dispatcher_fixture fleet;
     auto const key = fleet.start("/plain/", "id1", {{"deadline", "300"}});
     fleet.advance(270ms);
-    CHECK_FALSE(fleet.answered(key));
+    CHECK_FALSE(fleet.has_response(key));
     fleet.advance(10ms);
-    CHECK(fleet.answer(key).status == 504);
+    CHECK(fleet.response_to(key).status == 504);
 }
 
 TEST_CASE("dispatcher: when the caller leaves all its work is cancelled")
 {
     dispatcher_fixture fleet;
     auto const key = fleet.start("/gather/", "id1");
-    fleet.requests->caller_gone(key, fleet.now);
+    fleet.requests->on_caller_disconnected(key, fleet.now);
     CHECK(fleet.cancelled.size() == 4);
-    CHECK_FALSE(fleet.answered(key));
+    CHECK_FALSE(fleet.has_response(key));
     CHECK(fleet.requests->open_requests() == 0);
 }
 
@@ -245,7 +247,7 @@
     fleet.configs.offer(changed);
     for (std::size_t i = 0; i < 4; ++i)
         fleet.respond(i, 200, std::string(16, 'a'));
-    CHECK(fleet.answer(key).header("missing") == "0");
+    CHECK(fleet.response_to(key).header("missing") == "0");
     fleet.start("/gather/", "id2");
     CHECK(fleet.sent.size() == 5);
 }
@@ -256,7 +258,7 @@
     options.budget = {0.0, 4.0,
                       std::chrono::seconds(10)}; // One extra arrival a service: a share of 0.75 of 4 of 3 VMs.
     dispatcher_fixture fleet(options);
-    fleet.requests->set_vms(3);
+    fleet.requests->set_vm_count(3);
     for (char const* id : {"id1", "id2"}) {
         auto const before = fleet.sent.size();
         fleet.start("/gather/x", id);
@@ -267,11 +269,11 @@
     REQUIRE(fleet.finished.size() == 2);
     auto const& first = fleet.finished[0];
     CHECK(first.hedges == 1);
-    CHECK(first.extra.find("hedge:g0") == 0);
-    CHECK(first.extra.find("budget=0") != std::string::npos);
-    CHECK(first.extra.find("expected_ms=") != std::string::npos);
+    CHECK(first.extra_attempts.find("hedge:g0") == 0);
+    CHECK(first.extra_attempts.find("budget=0") != std::string::npos);
+    CHECK(first.extra_attempts.find("expected_ms=") != std::string::npos);
     auto const& second = fleet.finished[1];
     CHECK(second.hedges == 0);
     CHECK(second.hedges_denied > 0);
-    CHECK(std::string(second.denied) == "no_budget");
+    CHECK(std::string(second.hedge_denied_reason) == "no_budget");
 }
--- a/tests/test_places.cpp
+++ b/tests/test_places.cpp
@@ -71,12 +71,12 @@
     configure({region_name("q")});
     auto const key = start("/gather/x", "id");
     CHECK(reached() == std::set<std::string>{"g0c", "g1c", "g2c", "g3c"});
-    end(0, attempt_end::lost);
-    end(1, attempt_end::not_executed);
+    finish_attempt(0, attempt_end::lost);
+    finish_attempt(1, attempt_end::not_executed);
     advance(300ms); // Hedges and retries are due.
     CHECK(reached() == std::set<std::string>{"g0c", "g1c", "g2c", "g3c"});
     respond(2, 200, "");
-    CHECK_FALSE(answered(key));
+    CHECK_FALSE(has_response(key));
     start("/plain/x", "id2");
     CHECK(reached().contains("sc"));
     CHECK_FALSE(reached().contains("sa"));
@@ -88,8 +88,8 @@
     auto const query = start("/gather/x", "id");
     auto const plain = start("/plain/x", "id2");
     CHECK(sent.empty());
-    CHECK(answer(query).status == 503);
-    CHECK(answer(plain).status == 503);
+    CHECK(response_to(query).status == 503);
+    CHECK(response_to(plain).status == 503);
     CHECK(finished[0].reason == std::string("no_place"));
     CHECK(finished[0].no_home == 4);
 }
@@ -102,8 +102,8 @@
     REQUIRE(sent.size() == 3);
     for (std::size_t i = 0; i < 3; ++i)
         respond(i, 200, "");
-    CHECK(answer(key).status == 200);
-    CHECK(answer(key).header("missing") == "1");
+    CHECK(response_to(key).status == 200);
+    CHECK(response_to(key).header("missing") == "1");
     CHECK(finished[0].no_home >= 1);
 }
 
@@ -121,13 +121,13 @@
         REQUIRE(reached() == std::set<std::string>{"sa"});
         places.evacuated().begin(domain_name("d"));
         respond(0, 200, "body");
-        CHECK(answer(key).status == 200);
+        CHECK(response_to(key).status == 200);
     }
     SUBCASE("a second evacuation in series leaves nothing, and callers are told at once")
     {
         places.evacuated().begin(domain_name("e"));
         auto const key = start("/plain/x", "id2");
-        CHECK(answer(key).status == 503);
+        CHECK(response_to(key).status == 503);
         CHECK(finished.back().evacuated == 1);
         CHECK(places.evacuated().end(domain_name("e"), now));
         start("/plain/y", "id3");
--- a/tests/test_policy.cpp
+++ b/tests/test_policy.cpp
@@ -155,7 +155,7 @@
 
 TEST_CASE("the latency window gives a quantile of the recent samples only")
 {
-    time_window window;
+    duration_window window;
     CHECK_FALSE(window.quantile(0.95).has_value());
     for (int i = 0; i < 2000; ++i)
         window.add(microseconds(1000));
--- a/tests/test_connection_plan.cpp
+++ b/tests/test_preconnect.cpp
@@ -1,4 +1,4 @@
-/** @file test_connection_plan.cpp To which backend servers a gateway connects before a request needs it. */
+/** @file test_preconnect.cpp To which backend servers a gateway connects before a request needs it. */
 #include "dispatcher_fixture.hpp"
 
 using namespace cornelspring;
@@ -16,7 +16,8 @@
             return connected.contains(server->entry.id.value());
         };
         std::vector<std::string> ids;
-        for (auto const& server : plan_connections(*configs.current(), registry, places, is_connected, random, now))
+        for (auto const& server :
+             backends_to_preconnect(*configs.current(), registry, places, is_connected, random, now))
             ids.push_back(server->entry.id.value());
         return ids;
     }
