--- a/include/cornelspring/coordination.hpp
+++ b/include/cornelspring/coordination.hpp
@@ -62,7 +62,7 @@
      * @return succeeded and the revision of the write; or not succeeded: someone else changed the key.
      * @throw error the last one, when the outcome is still not known after @p tries.
      */
-    txn_result put_if(std::string const& key, std::int64_t expected, std::string const& value, int tries = 5);
+    txn_result compare_and_swap(std::string const& key, std::int64_t expected, std::string const& value, int tries = 5);
     /** @return a new lease with @p ttl_s seconds to live. */
     granted_lease grant_lease(std::int64_t ttl_s);
     /** Renews @p lease. @return the cluster that did. @throw error not_found when it lapsed. */
@@ -171,9 +171,9 @@
 
 /** How a back end answered one request, as the tracker sees it. */
 enum class attempt_outcome {
-    answered,  ///< A usable answer.
-    overtaken, ///< Cancelled because another replica answered first: its latency is at least the time it ran.
-    refused,   ///< It does not hold the shard at that version; says nothing of its speed.
+    succeeded, ///< A usable answer.
+    canceled,  ///< Cancelled because another replica answered first: its latency is at least the time it ran.
+    not_held,  ///< It does not hold the shard at that version; says nothing of its speed.
     shed,      ///< Refused for lack of a slot.
     draining,  ///< Refused because it is leaving.
     failed,    ///< Connection lost, timeout, or an answer that cannot be used.
@@ -208,16 +208,16 @@
     void on_sent(std::string const& name);
     /** Notes how a request ended. @param name back end. @param outcome how. @param took time it ran. @param now
      * present. */
-    void on_ended(std::string const& name, attempt_outcome outcome, std::chrono::microseconds took, time_point now);
+    void on_finished(std::string const& name, attempt_outcome outcome, std::chrono::microseconds took, time_point now);
     /** Replaces the addresses that the platform's VM list calls leaving. @param addresses host:port. */
-    void set_leaving(std::set<std::string> addresses) { m_leaving = std::move(addresses); }
+    void set_leaving_addresses(std::set<std::string> addresses) { m_leaving = std::move(addresses); }
     /** @return whether new work may go to @p target. @param target replica. @param now present time. */
     bool takes_work(replica const& target, time_point now) const;
     /** @return whether @p target is neither ejected nor shedding. @param target replica. @param now present time. */
     bool healthy(replica const& target, time_point now) const;
     /** @return expected wait at @p target in microseconds; lower is better. @param target replica. @param now present.
      */
-    double cost(replica const& target, time_point now) const;
+    double expected_wait_us(replica const& target, time_point now) const;
 
 private:
     /** Observations of one back end. */
--- a/src/coordination/backend_tracker.cpp
+++ b/src/coordination/backend_tracker.cpp
@@ -21,7 +21,7 @@
 attempt_outcome classify_failure(client_result const& result)
 {
     if (result.outcome != send_outcome::answered) return attempt_outcome::failed;
-    if (result.response.status == status_not_held) return attempt_outcome::refused;
+    if (result.response.status == status_not_held) return attempt_outcome::not_held;
     if (result.response.status != status_unavailable) return attempt_outcome::failed;
     return result.response.header(draining_header).empty() ? attempt_outcome::shed : attempt_outcome::draining;
 }
@@ -35,26 +35,26 @@
 
 void backend_tracker::on_sent(std::string const& name) { ++m_backends[name].outstanding; }
 
-void backend_tracker::on_ended(std::string const& name, attempt_outcome outcome, std::chrono::microseconds took,
-                               time_point now)
+void backend_tracker::on_finished(std::string const& name, attempt_outcome outcome, std::chrono::microseconds took,
+                                  time_point now)
 {
     auto& seen = m_backends[name];
     seen.outstanding = std::max(0, seen.outstanding - 1);
     switch (outcome) {
-    case attempt_outcome::answered:
-    case attempt_outcome::overtaken: {
+    case attempt_outcome::succeeded:
+    case attempt_outcome::canceled: {
         auto sample = static_cast<double>(took.count());
         double const weight = m_options.latency_weight;
         // A cancelled request only shows that the latency is at least this, so it never lowers the average.
-        if (outcome == attempt_outcome::overtaken && sample < seen.latency_us) return;
+        if (outcome == attempt_outcome::canceled && sample < seen.latency_us) return;
         // One straggler says little of the next request, many in a row say much: each may raise the average a bit.
         if (seen.latency_us > 0) sample = std::min(sample, seen.latency_us * m_options.outlier_factor);
         seen.latency_us = seen.latency_us == 0 ? sample : (1 - weight) * seen.latency_us + weight * sample;
         seen.sampled_at = now;
-        if (outcome == attempt_outcome::answered) seen.failures = 0;
+        if (outcome == attempt_outcome::succeeded) seen.failures = 0;
         return;
     }
-    case attempt_outcome::refused: return;
+    case attempt_outcome::not_held: return;
     case attempt_outcome::shed: seen.shed_until = now + m_options.shed_hold; return;
     case attempt_outcome::draining: seen.drain_until = now + m_options.drain_hold; return;
     case attempt_outcome::failed: {
@@ -79,7 +79,7 @@
     return found == m_backends.end() || (found->second.eject_until <= now && found->second.shed_until <= now);
 }
 
-double backend_tracker::cost(replica const& target, time_point now) const
+double backend_tracker::expected_wait_us(replica const& target, time_point now) const
 {
     using std::chrono::microseconds;
     auto const assumed = static_cast<double>(microseconds(m_options.initial_latency).count());
@@ -128,7 +128,7 @@
         if (open.empty()) return std::nullopt;
         std::vector<double> costs;
         for (auto i : open)
-            costs.push_back(tracker.cost(candidates[i], now));
+            costs.push_back(tracker.expected_wait_us(candidates[i], now));
         double const limit = *std::min_element(costs.begin(), costs.end()) * near_factor;
         // Entry nodes see the same back ends: a random choice among near equals keeps them from all picking one.
         std::vector<std::size_t> near;
--- a/src/coordination/scatter_gather.cpp
+++ b/src/coordination/scatter_gather.cpp
@@ -166,19 +166,19 @@
     auto const& target = (*slot.candidates)[pick];
     bool const answered = result.outcome == send_outcome::answered && result.response.status == 200;
     if (answered && accept_answer(*state, shard, result.response.body)) {
-        m_tracker.on_ended(target.name, attempt_outcome::answered, took, now);
+        m_tracker.on_finished(target.name, attempt_outcome::succeeded, took, now);
         m_latencies[state->query.service].add(took);
         settle(state, shard);
         maybe_finish(state);
         return;
     }
     auto const failure = classify_failure(result);
-    if (failure == attempt_outcome::refused) {
+    if (failure == attempt_outcome::not_held) {
         state->version_missing = true;
     } else {
         slot.may_repeat = true;
     }
-    m_tracker.on_ended(target.name, failure, took, now);
+    m_tracker.on_finished(target.name, failure, took, now);
     if (slot.open.empty()) retry_shard(state, shard);
 }
 
@@ -279,7 +279,7 @@
         m_client.cancel(item.call);
         ++state.counts.reached; // it may have been sent
         auto const ran = std::chrono::duration_cast<microseconds>(now - item.sent);
-        m_tracker.on_ended((*slot.candidates)[item.candidate].name, attempt_outcome::overtaken, ran, now);
+        m_tracker.on_finished((*slot.candidates)[item.candidate].name, attempt_outcome::canceled, ran, now);
     }
     slot.open.clear();
 }
--- a/src/coordination/store_client.cpp
+++ b/src/coordination/store_client.cpp
@@ -98,7 +98,8 @@
     return result;
 }
 
-txn_result store_client::put_if(std::string const& key, std::int64_t expected, std::string const& value, int tries)
+txn_result store_client::compare_and_swap(std::string const& key, std::int64_t expected, std::string const& value,
+                                          int tries)
 {
     txn_request request;
     request.compares.push_back({key, compare_target::mod_revision, expected, ""});
--- a/src/coordination/vm_list_watcher.cpp
+++ b/src/coordination/vm_list_watcher.cpp
@@ -42,7 +42,8 @@
     for (auto const& vm : body.value("vms", nlohmann::json::array())) {
         if (vm.is_object() && vm.value("state", "live") != "live") leaving.insert(vm.value("address", ""));
     }
-    m_client.post([this, leaving = std::move(leaving)]() mutable { m_tracker.set_leaving(std::move(leaving)); });
+    m_client.post(
+        [this, leaving = std::move(leaving)]() mutable { m_tracker.set_leaving_addresses(std::move(leaving)); });
 }
 
 } // namespace cornelspring
--- a/src/coordination/write_coordinator.cpp
+++ b/src/coordination/write_coordinator.cpp
@@ -241,7 +241,7 @@
 {
     m_client.post([this, backend, outcome, took] {
         if (outcome) {
-            m_tracker.on_ended(backend, *outcome, took, clock::now());
+            m_tracker.on_finished(backend, *outcome, took, clock::now());
         } else {
             m_tracker.on_sent(backend);
         }
@@ -272,7 +272,7 @@
             m_client.call(target.address, json_post(paths::shard_write, nlohmann::json(message).dump()), left);
         auto const took = std::chrono::duration_cast<std::chrono::microseconds>(clock::now() - begun);
         if (reply.outcome == send_outcome::answered && reply.response.status == 200) {
-            note(target.name, attempt_outcome::answered, took);
+            note(target.name, attempt_outcome::succeeded, took);
             result.reached = true;
             result.answer =
                 write_answer{request.idempotency_key, request.service, reply.response.body, target.name, false};
--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -54,7 +54,7 @@
         std::int64_t expected = item.revision;
         if (expected == 0) expected = store.get(key).first.value_or(key_value{}).mod_revision;
         if (expected < 0) expected = 0;
-        auto const result = store.put_if(key, expected, resource_to_json(item).dump());
+        auto const result = store.compare_and_swap(key, expected, resource_to_json(item).dump());
         std::string const label = to_string(item.kind) + "/" + item.name;
         if (!result.succeeded) {
             throw error(error_kind::conflict,
--- a/tests/test_coordination_contract.cpp
+++ b/tests/test_coordination_contract.cpp
@@ -107,12 +107,12 @@
         CAPTURE(item.name);
         store_bench bench;
         bench.store.fault(item.fault);
-        CHECK(bench.client.put_if("k", 0, "mine").succeeded);
+        CHECK(bench.client.compare_and_swap("k", 0, "mine").succeeded);
         auto const found = bench.client.get("k").first;
         REQUIRE(found.has_value());
         CHECK(found->version == item.versions);
         // Someone else's write in between is seen, not overwritten.
-        CHECK_FALSE(bench.client.put_if("k", 0, "late").succeeded);
+        CHECK_FALSE(bench.client.compare_and_swap("k", 0, "late").succeeded);
         CHECK(bench.client.get("k").first->value == "mine");
     }
 }
@@ -133,7 +133,7 @@
                 bool written = false;
                 try {
                     auto const before = client.get("k").first.value_or(key_value{});
-                    written = client.put_if("k", before.mod_revision, before.value + token + " ").succeeded;
+                    written = client.compare_and_swap("k", before.mod_revision, before.value + token + " ").succeeded;
                 } catch (error const& failure) {
                     if (failure.kind() == error_kind::outcome_unknown) continue; // says nothing either way
                 }
--- a/tests/test_policy.cpp
+++ b/tests/test_policy.cpp
@@ -18,7 +18,7 @@
 void observe(backend_tracker& tracker, std::string const& name, attempt_outcome outcome, int took_ms, time_point now)
 {
     tracker.on_sent(name);
-    tracker.on_ended(name, outcome, milliseconds(took_ms), now);
+    tracker.on_finished(name, outcome, milliseconds(took_ms), now);
 }
 
 } // namespace
@@ -34,12 +34,12 @@
     policy_case const cases[] = {
         {"b is faster",
          [](backend_tracker& t) {
-             observe(t, "a", attempt_outcome::answered, 50, start);
-             observe(t, "b", attempt_outcome::answered, 5, start);
+             observe(t, "a", attempt_outcome::succeeded, 50, start);
+             observe(t, "b", attempt_outcome::succeeded, 5, start);
          },
          milliseconds(0), 1},
         {"b was never seen: it is tried",
-         [](backend_tracker& t) { observe(t, "a", attempt_outcome::answered, 1, start); }, milliseconds(0), 1},
+         [](backend_tracker& t) { observe(t, "a", attempt_outcome::succeeded, 1, start); }, milliseconds(0), 1},
         {"a has a queue",
          [](backend_tracker& t) {
              for (int i = 0; i < 4; ++i)
@@ -58,20 +58,20 @@
          milliseconds(100), 1},
         {"a is overtaken again and again",
          [](backend_tracker& t) {
-             observe(t, "b", attempt_outcome::answered, 10, start);
-             observe(t, "a", attempt_outcome::overtaken, 500, start);
+             observe(t, "b", attempt_outcome::succeeded, 10, start);
+             observe(t, "a", attempt_outcome::canceled, 500, start);
          },
          milliseconds(0), 1},
         {"the VM list calls b leaving, though it is faster",
          [](backend_tracker& t) {
-             observe(t, "b", attempt_outcome::answered, 1, start);
-             observe(t, "a", attempt_outcome::answered, 100, start);
-             t.set_leaving({"127.0.0.1:2"});
+             observe(t, "b", attempt_outcome::succeeded, 1, start);
+             observe(t, "a", attempt_outcome::succeeded, 100, start);
+             t.set_leaving_addresses({"127.0.0.1:2"});
          },
          milliseconds(0), 0},
         {"both are leaving: no new work at all",
          [](backend_tracker& t) {
-             t.set_leaving({"127.0.0.1:1", "127.0.0.1:2"});
+             t.set_leaving_addresses({"127.0.0.1:1", "127.0.0.1:2"});
          },
          milliseconds(0), std::nullopt},
         {"both failed: one is tried all the same, the less loaded",
@@ -110,7 +110,7 @@
         observe(tracker, "a", attempt_outcome::failed, 1, start);
     CHECK_FALSE(tracker.healthy(target, start + milliseconds(4999)));
     CHECK(tracker.healthy(target, start + milliseconds(5000)));
-    observe(tracker, "a", attempt_outcome::answered, 1, start + milliseconds(5000));
+    observe(tracker, "a", attempt_outcome::succeeded, 1, start + milliseconds(5000));
     observe(tracker, "a", attempt_outcome::failed, 1, start + milliseconds(5000));
     CHECK(tracker.healthy(target, start + milliseconds(5000)));
 }
@@ -119,22 +119,22 @@
 {
     backend_tracker tracker;
     auto const target = two_replicas()[0];
-    observe(tracker, "a", attempt_outcome::answered, 100, start);
-    double const before = tracker.cost(target, start);
-    observe(tracker, "a", attempt_outcome::overtaken, 1, start);
-    CHECK(tracker.cost(target, start) == doctest::Approx(before));
-    observe(tracker, "a", attempt_outcome::overtaken, 1000, start);
-    CHECK(tracker.cost(target, start) > before);
+    observe(tracker, "a", attempt_outcome::succeeded, 100, start);
+    double const before = tracker.expected_wait_us(target, start);
+    observe(tracker, "a", attempt_outcome::canceled, 1, start);
+    CHECK(tracker.expected_wait_us(target, start) == doctest::Approx(before));
+    observe(tracker, "a", attempt_outcome::canceled, 1000, start);
+    CHECK(tracker.expected_wait_us(target, start) > before);
 }
 
 TEST_CASE("one straggler moves the average little, and a slow back end is forgotten with time")
 {
     backend_tracker tracker;
     auto const target = two_replicas()[0];
-    observe(tracker, "a", attempt_outcome::answered, 10, start);
-    observe(tracker, "a", attempt_outcome::answered, 1000, start);
-    CHECK(tracker.cost(target, start) == doctest::Approx(16000)); // 0.8 * 10 ms + 0.2 * 4 * 10 ms
-    CHECK(tracker.cost(target, start + milliseconds(500)) == doctest::Approx(8000));
+    observe(tracker, "a", attempt_outcome::succeeded, 10, start);
+    observe(tracker, "a", attempt_outcome::succeeded, 1000, start);
+    CHECK(tracker.expected_wait_us(target, start) == doctest::Approx(16000)); // 0.8 * 10 ms + 0.2 * 4 * 10 ms
+    CHECK(tracker.expected_wait_us(target, start + milliseconds(500)) == doctest::Approx(8000));
 }
 
 TEST_CASE("a budget allows its burst, then only its share")
