--- a/include/cornelspring/feed.hpp
+++ b/include/cornelspring/feed.hpp
@@ -40,7 +40,7 @@
 struct store_batch {
     std::vector<store_item> items; ///< Items or changes, oldest first.
     store_position as_of;          ///< Up to where the answer is complete; its items are of the same era.
-    std::string next;              ///< Where the next page begins; empty: this is the last one.
+    std::string next_page_token;   ///< Where the next page begins; empty: this is the last one.
     milliseconds age{0};           ///< How long ago the sender knew that its copy was current; 0 for the store.
     std::vector<std::string> path; ///< Gateways between the sender and the store, the sender's source first.
 };
@@ -62,9 +62,9 @@
         watch;                                                          ///< Wait for changes.
     std::function<http_request(store_position after)> freshness;        ///< Short proof of how current the answer is.
     std::function<http_request(std::vector<store_write> const&)> write; ///< Write keys.
-    std::function<http_request(milliseconds ttl)> grant;                ///< New lease.
-    std::function<http_request(std::int64_t lease)> renew;              ///< Renew a lease.
-    std::function<http_request(std::int64_t lease)> end_lease;          ///< End a lease.
+    std::function<http_request(milliseconds ttl)> grant_lease;          ///< New lease.
+    std::function<http_request(std::int64_t lease)> renew_lease;        ///< Renew a lease.
+    std::function<http_request(std::int64_t lease)> revoke_lease;       ///< End a lease.
     std::function<store_batch(http_response const&)> parse_batch;       ///< Reads the answer of read, watch, freshness.
     std::function<std::int64_t(http_response const&)> parse_lease;      ///< Reads the answer of grant.
     std::function<store_era(http_response const&)> parse_era;           ///< Reads the era from any answer of the store.
@@ -78,7 +78,7 @@
 /** A gateway VM as it registers itself. */
 struct gateway_member {
     endpoint address;      ///< Where callers connect.
-    endpoint peer;         ///< Where other gateways ask for state.
+    endpoint peer_address; ///< Where other gateways ask for state.
     domain_name domain;    ///< Failure domain.
     region_name region;    ///< Region.
     double capacity = 1;   ///< Processor cores it may use.
@@ -154,17 +154,17 @@
  * write it again within a time; acting on its absence meanwhile would take registered gateways, backend servers and
  * evacuations for gone.
  */
-class missing_items {
+class deferred_removals {
 public:
     /**
      * Takes the removals out of what the first read of an era changed. All that is held back is so for the same time.
      * @param changes what was changed. @param until when the removals are due. @return the other changes.
      */
-    std::vector<store_item> hold(std::vector<store_item> changes, time_point until);
+    std::vector<store_item> defer(std::vector<store_item> changes, time_point until);
     /** A change of the key has arrived: it decides. @param key which. */
-    void forget(std::string const& key) { m_removals.erase(key); }
+    void cancel(std::string const& key) { m_removals.erase(key); }
     /** Holds everything back for longer. @param until when the removals are due. */
-    void extend(time_point until) { m_until = until; }
+    void postpone(time_point until) { m_until = until; }
     /** @return the removals that are due, and forgets them. @param now present time. */
     std::vector<store_item> take_due(time_point now);
 
@@ -187,13 +187,13 @@
 
 /** A copy older than this is no proof that its holder still hears of changes: a watch of the store is answered at least
  *  each 1.5 s, and a slow store takes some hundred milliseconds more. */
-inline constexpr milliseconds fresh_limit{2500};
+inline constexpr milliseconds max_fresh_age{2500};
 
 /** Rounds of a search without a pause between them, each of which asks twice as many as the one before. */
 inline constexpr int quick_search_rounds = 3;
 
 /** Where a gateway is, for the choice of its source. */
-struct feed_place {
+struct feed_selector_settings {
     endpoint store;              ///< The platform's store.
     std::string self;            ///< Store key of this VM.
     domain_name domain;          ///< Failure domain of this VM.
@@ -217,7 +217,7 @@
 class feed_selector {
 public:
     /** @param place where this VM is. @param seed random seed. */
-    feed_selector(feed_place place, std::uint64_t seed);
+    feed_selector(feed_selector_settings place, std::uint64_t seed);
     /** @return the source to watch; nothing when a search must find one. @param members live gateways. */
     std::optional<feed_source> choose(member_map const& members) const;
     /** @return the source of a full read: the store when it can be reached, since many full reads at once overload
@@ -228,13 +228,13 @@
     std::vector<feed_source> search_targets(member_map const& members, int round);
     /** @return the source that this VM should use, when it failed and its pause is over: ask it for proof.
      *  @param members live gateways. @param now present time. */
-    std::optional<feed_source> due_for_proof(member_map const& members, time_point now) const;
+    std::optional<feed_source> due_for_recheck(member_map const& members, time_point now) const;
     /** Notes that a source failed. @param source source. @param now present time. */
     void on_failed(feed_source const& source, time_point now);
     /** Notes that a search found a source. @param source source. */
     void on_found(feed_source const& source);
     /** Notes that a source answers. @param source source. */
-    void on_answered(feed_source const& source) { m_failed.erase(source.peer_key); }
+    void on_responded(feed_source const& source) { m_failed.erase(source.peer_key); }
 
 private:
     /** A source that failed. */
@@ -254,7 +254,7 @@
     /** @return whether a round of a search asks the store too. */
     bool asks_store(member_map const& members, int round);
 
-    feed_place m_place;                      ///< Where this VM is.
+    feed_selector_settings m_place;          ///< Where this VM is.
     std::mt19937_64 m_random;                ///< Order of candidates.
     std::map<std::string, failure> m_failed; ///< Failed sources; the store has an empty key.
     std::set<std::string> m_asked;           ///< Sources asked in this search.
@@ -271,7 +271,7 @@
 } // namespace feed_status
 
 /** What a feed asks of a source. */
-enum class feed_question {
+enum class feed_call_kind {
     read,      ///< A page of everything.
     watch,     ///< Changes, waiting for some.
     freshness, ///< Short proof of how current its copy is.
@@ -279,16 +279,16 @@
 
 /** One call of a feed. */
 struct feed_call {
-    feed_source source;     ///< Where to.
-    feed_question question; ///< What.
-    std::string page;       ///< For a read: where the page begins.
-    store_position after;   ///< For the others: what is known.
-    milliseconds wait{0};   ///< For a watch: how long the source may wait for changes.
-    milliseconds limit{0};  ///< The call fails after this.
+    feed_source source;      ///< Where to.
+    feed_call_kind kind;     ///< What.
+    std::string page_token;  ///< For a read: where the page begins.
+    store_position after;    ///< For the others: what is known.
+    milliseconds wait{0};    ///< For a watch: how long the source may wait for changes.
+    milliseconds timeout{0}; ///< The call fails after this.
 };
 
 /** What came back. */
-struct feed_reply {
+struct feed_response {
     int status = 0;          ///< See feed_status; 0: no answer.
     char const* reason = ""; ///< Why there is no answer.
     store_batch batch;       ///< The answer when there is one.
@@ -296,11 +296,11 @@
 
 /** Calls of a feed to the outside; a test plays them in virtual time. */
 struct feed_io {
-    using reply_hook = std::function<void(feed_reply)>;            ///< Receives the reply of a call, later.
-    std::function<void(feed_call, reply_hook)> call;               ///< The one call for state; ends the one before.
-    std::function<void(feed_call, reply_hook)> ask;                ///< Asks for proof; several at once.
-    std::function<time_point()> now;                               ///< Present time.
-    std::function<void(time_point, std::function<void()>)> run_at; ///< Runs a task at a time.
+    using response_handler = std::function<void(feed_response)>;      ///< Receives the reply of a call, later.
+    std::function<void(feed_call, response_handler)> fetch;           ///< The one call for state; ends the one before.
+    std::function<void(feed_call, response_handler)> check_freshness; ///< Asks for proof; several at once.
+    std::function<time_point()> now;                                  ///< Present time.
+    std::function<void(time_point, std::function<void()>)> run_at;    ///< Runs a task at a time.
 };
 
 /** What a state feed reports. */
@@ -308,16 +308,17 @@
     /** Everything there is; of a later era than before when the store came back from an older copy. */
     std::function<void(std::vector<store_item> const& items, store_position as_of)> on_snapshot;
     std::function<void(std::vector<store_item> const& items, store_position as_of)> on_changes; ///< Changes.
-    std::function<void(feed_source const& source, char const* reason)> on_failed;               ///< A source failed.
+    std::function<void(feed_source const& source, char const* reason)> on_source_failed;        ///< A source failed.
     /** A source with a current copy answered, before what it says is taken in. @param unheard how long nothing had
      *  confirmed the copy. */
-    std::function<void(feed_source const& source, milliseconds unheard)> on_heard;
+    std::function<void(feed_source const& source, milliseconds unheard)> on_current_response;
     /** What a source answered was taken in. @param confirmed_at when the copy was current for certain. @param path
      * gateways between this VM and the store, the source first. */
     std::function<void(feed_source const& source, time_point confirmed_at, std::vector<std::string> const& path)>
-        on_answered;
-    std::function<void(bool searching)> on_search; ///< A search begins or ends: this VM has no source to vouch for.
-    std::function<member_map const&()> members;    ///< Live gateways.
+        on_copy_confirmed;
+    std::function<void(bool searching)>
+        on_search_changed;                      ///< A search begins or ends: this VM has no source to vouch for.
+    std::function<member_map const&()> members; ///< Live gateways.
 };
 
 /** Keeps a copy of the store current: a full read, then one waiting watch over all keys, from whatever source. */
@@ -341,15 +342,15 @@
 // ---- Followers ----
 
 /** What another gateway asks of this one. */
-struct follower_question {
-    feed_question question = feed_question::watch; ///< What.
-    std::string from;                              ///< Store key of the gateway that asks.
-    store_position after;                          ///< What it knows.
-    milliseconds wait{0};                          ///< For a watch: how long it waits.
+struct follower_request {
+    feed_call_kind kind = feed_call_kind::watch; ///< What.
+    std::string sender;                          ///< Store key of the gateway that asks.
+    store_position after;                        ///< What it knows.
+    milliseconds wait{0};                        ///< For a watch: how long it waits.
 };
 
 /** What it is answered. */
-struct follower_answer {
+struct follower_response {
     int status = feed_status::ok; ///< Status.
     store_batch batch;            ///< The answer when there is one.
     std::string body;             ///< The same as bytes, made once for all followers that are told it.
@@ -371,7 +372,7 @@
     struct hooks {
         std::function<std::string(store_batch const&)> encode; ///< Makes the bytes of an answer.
         /** Answers questions that have the same answer. */
-        std::function<void(std::vector<request_key> const&, follower_answer const&)> answer;
+        std::function<void(std::vector<request_key> const&, follower_response const&)> respond;
         std::function<void(time_point, std::function<void()>)> run_at; ///< Runs a task at a time.
         std::function<time_point()> now;                               ///< Present time.
     };
@@ -380,9 +381,9 @@
     /** Says what this VM's link carries. @param bytes_per_s rate; 0: not known, and all is told at once. */
     void set_uplink(double bytes_per_s);
     /** Takes in a question; it is answered now or later. @param key its key. @param asked question. */
-    void ask(request_key key, follower_question const& asked);
+    void handle_request(request_key key, follower_request const& asked);
     /** The one who asked has left. @param key question. @return whether it was waiting. */
-    bool forget(request_key key);
+    bool cancel(request_key key);
     /** The copy was confirmed. @param source by whom. @param confirmed_at when it was current for certain.
      *  @param path gateways between this VM and the store. */
     void on_confirmed(feed_source const& source, time_point confirmed_at, std::vector<std::string> path);
@@ -397,9 +398,9 @@
 private:
     /** Followers that are to be told the same. */
     struct turn {
-        follower_question asked;       ///< What they asked.
+        follower_request asked;        ///< What they asked.
         std::vector<request_key> keys; ///< Their questions.
-        follower_answer answer;        ///< What they are told.
+        follower_response answer;      ///< What they are told.
         time_point made_at;            ///< When the answer was made; the epoch before that.
     };
     /** Forgets a follower that waits for changes. @param key question. @return whether it was waiting. */
@@ -411,11 +412,11 @@
     /** Answers some of the followers of a turn, as many as one piece holds. */
     void tell_piece(turn& of, time_point now);
     /** @return @p batch with the age of the copy. */
-    follower_answer dated(store_batch batch) const;
+    follower_response dated(store_batch batch) const;
     /** @return what changed after @p from, or that everything must be read. */
-    follower_answer changes_after(store_position from) const;
+    follower_response changes_after(store_position from) const;
     /** @return that nothing has changed. */
-    follower_answer unchanged() const;
+    follower_response unchanged() const;
 
     state_mirror const& m_mirror;        ///< Copy.
     hooks m_hooks;                       ///< Outside calls.
@@ -437,10 +438,10 @@
 store_codec make_peer_codec(std::string self);
 /** Paths by which gateways ask each other, and the header that names the one that asks. */
 namespace peer_paths {
-inline constexpr char const* state = "/v1/state";         ///< Everything, by pages.
-inline constexpr char const* changes = "/v1/changes";     ///< Changes after a position; waits for some.
-inline constexpr char const* freshness = "/v1/freshness"; ///< Position and age of the copy.
-inline constexpr char const* from = "from-gateway";       ///< Header: store key of the gateway that asks.
+inline constexpr char const* state = "/v1/state";            ///< Everything, by pages.
+inline constexpr char const* changes = "/v1/changes";        ///< Changes after a position; waits for some.
+inline constexpr char const* freshness = "/v1/freshness";    ///< Position and age of the copy.
+inline constexpr char const* sender_header = "from-gateway"; ///< Header: store key of the gateway that asks.
 } // namespace peer_paths
 /** @return a batch as the body that make_peer_codec() reads. @param batch batch. */
 std::string encode_peer_batch(store_batch const& batch);
--- a/src/feed/missing_items.cpp
+++ b/src/feed/deferred_removals.cpp
@@ -1,11 +1,11 @@
-/** @file missing_items.cpp Items that were missing when the store came back from an older copy. */
+/** @file deferred_removals.cpp Items that were missing when the store came back from an older copy. */
 #include <cornelspring/feed.hpp>
 
 #include <algorithm>
 
 namespace cornelspring {
 
-std::vector<store_item> missing_items::hold(std::vector<store_item> changes, time_point until)
+std::vector<store_item> deferred_removals::defer(std::vector<store_item> changes, time_point until)
 {
     m_until = until;
     auto const removals =
@@ -16,7 +16,7 @@
     return changes;
 }
 
-std::vector<store_item> missing_items::take_due(time_point now)
+std::vector<store_item> deferred_removals::take_due(time_point now)
 {
     std::vector<store_item> due;
     if (now < m_until) return due;
--- a/src/feed/feed_selector.cpp
+++ b/src/feed/feed_selector.cpp
@@ -51,10 +51,10 @@
 }
 
 /** @return a gateway as a source. */
-feed_source source_of(member_map::value_type const& member) { return {member.first, member.second.peer}; }
+feed_source source_of(member_map::value_type const& member) { return {member.first, member.second.peer_address}; }
 
 /** @return how far @p member is, for the order in which it is asked. */
-int distance(gateway_member const& member, feed_place const& place)
+int distance(gateway_member const& member, feed_selector_settings const& place)
 {
     if (member.domain == place.domain) return 0;
     return member.region == place.region ? 1 : 2;
@@ -68,7 +68,10 @@
     return left.first < right.first;
 }
 
-feed_selector::feed_selector(feed_place place, std::uint64_t seed) : m_place(std::move(place)), m_random(seed) {}
+feed_selector::feed_selector(feed_selector_settings place, std::uint64_t seed)
+    : m_place(std::move(place)), m_random(seed)
+{
+}
 
 void feed_selector::on_failed(feed_source const& source, time_point now)
 {
@@ -124,7 +127,7 @@
     return failed(store) ? choose(members) : store;
 }
 
-std::optional<feed_source> feed_selector::due_for_proof(member_map const& members, time_point now) const
+std::optional<feed_source> feed_selector::due_for_recheck(member_map const& members, time_point now) const
 {
     auto const first = preferred(members);
     auto const found = m_failed.find(first.peer_key);
--- a/src/feed/peer_codec.cpp
+++ b/src/feed/peer_codec.cpp
@@ -51,7 +51,7 @@
     if (fields.contains("deflated")) fields = inflate_answer(fields);
     store_era const era(fields.at("era").get<std::int64_t>());
     batch.as_of = {era, fields.at("as_of").get<std::int64_t>()};
-    batch.next = fields.at("next").get<std::string>();
+    batch.next_page_token = fields.at("next").get<std::string>();
     batch.age = milliseconds(fields.at("age_ms").get<std::int64_t>());
     batch.path = fields.at("path").get<std::vector<std::string>>();
     for (auto const& each : fields.at("items")) {
@@ -76,7 +76,7 @@
     }
     json const fields = {{"era", batch.as_of.era.value()},
                          {"as_of", batch.as_of.revision},
-                         {"next", batch.next},
+                         {"next", batch.next_page_token},
                          {"age_ms", batch.age.count()},
                          {"path", batch.path},
                          {"items", list}};
@@ -92,7 +92,7 @@
     auto const ask = [self = std::move(self)](std::string path) {
         http_request request;
         request.path = std::move(path);
-        request.headers.push_back({peer_paths::from, self});
+        request.headers.push_back({peer_paths::sender_header, self});
         return request;
     };
     store_codec codec;
--- a/src/feed/state_feed.cpp
+++ b/src/feed/state_feed.cpp
@@ -88,7 +88,7 @@
     /** Asks others when the call is late, or the source's copy has become old meanwhile. */
     void watch_lateness(feed_call const& call, std::uint64_t number);
     /** Takes in the reply of a call for state. */
-    void take(feed_source const& source, feed_reply const& reply);
+    void take(feed_source const& source, feed_response const& reply);
     /** Takes in a page of a full read. */
     void take_page(feed_source const& source, store_batch const& batch);
     /** Takes in changes. */
@@ -107,7 +107,7 @@
     /** @return the question for proof to @p source. */
     feed_call proof_call(feed_source const& source) const;
     /** @return why @p reply does not prove that its sender is current; null: it does. */
-    char const* flaw(feed_reply const& reply) const;
+    char const* flaw(feed_response const& reply) const;
     /** @return whether a copy of that age proves that its holder hears of changes which this VM may have missed. */
     bool proves_more(milliseconds age) const;
     /** Begins or ends a search. */
@@ -115,7 +115,7 @@
     /** Reports an answer of a source that leaves the copy as current as the source's. */
     void report(feed_source const& source, store_batch const& batch);
     /** Takes in the reply to a question of a search. */
-    void take_proof(feed_source const& source, feed_reply const& reply, std::uint64_t number, int of_round);
+    void take_proof(feed_source const& source, feed_response const& reply, std::uint64_t number, int of_round);
     /** Asks the preferred source for proof, when it failed and its pause is over. */
     void ask_preferred();
 };
@@ -126,10 +126,10 @@
 {
     if (needs_read) {
         auto const limit = source.is_store() ? store_read_limit : peer_read_limit;
-        return {source, feed_question::read, next_page, {}, milliseconds(0), limit};
+        return {source, feed_call_kind::read, next_page, {}, milliseconds(0), limit};
     }
     auto const wait = on_trial ? milliseconds(0) : source.is_store() ? store_wait : peer_wait;
-    return {source, feed_question::watch, "", position, wait, wait + watch_margin};
+    return {source, feed_call_kind::watch, "", position, wait, wait + watch_margin};
 }
 
 void state_feed::impl::step()
@@ -146,7 +146,7 @@
     last_source = source;
     auto const number = ++call_number;
     watch_lateness(call, number);
-    io.call(call, [this, number, from = *source](feed_reply const& reply) {
+    io.fetch(call, [this, number, from = *source](feed_response const& reply) {
         if (number != call_number) return;
         calling = false;
         take(from, reply);
@@ -156,7 +156,7 @@
 void state_feed::impl::watch_lateness(feed_call const& call, std::uint64_t number)
 {
     // A full read takes a while on a small link; begun anew elsewhere, it would never end.
-    if (call.question == feed_question::read) return;
+    if (call.kind == feed_call_kind::read) return;
     auto const patience = late_after * (1 << std::min(found_in_vain, most_late_doublings));
     auto const late_at = io.now() + call.wait + patience;
     io.run_at(std::min(late_at, std::max(io.now() + patience, vouched_at + search_age)), [this, number] {
@@ -167,7 +167,7 @@
 void state_feed::impl::failed(feed_source const& source, char const* reason)
 {
     selector.on_failed(source, io.now());
-    events.on_failed(source, reason);
+    events.on_source_failed(source, reason);
 }
 
 void state_feed::impl::confirmed(feed_source const& source, store_batch const& batch)
@@ -175,19 +175,19 @@
     vouched_at = io.now() - batch.age;
     auto const unheard = std::chrono::duration_cast<milliseconds>(io.now() - confirmed_at);
     // Before the last page, the copy is older than the sender's.
-    if (batch.next.empty()) confirmed_at = std::max(confirmed_at, vouched_at);
+    if (batch.next_page_token.empty()) confirmed_at = std::max(confirmed_at, vouched_at);
     if (batch.age > search_age) {
         search(); // It is followed on meanwhile: nothing better is known.
         return;
     }
     found_in_vain = 0;
-    events.on_heard(source, is_synced ? unheard : milliseconds(0));
-    selector.on_answered(source);
+    events.on_current_response(source, is_synced ? unheard : milliseconds(0));
+    selector.on_responded(source);
     on_trial = false;
     set_searching(false);
 }
 
-void state_feed::impl::take(feed_source const& source, feed_reply const& reply)
+void state_feed::impl::take(feed_source const& source, feed_response const& reply)
 {
     if (reply.status != feed_status::ok) {
         bool const gone = !needs_read && reply.status == feed_status::gone;
@@ -228,7 +228,7 @@
     // Pages are no snapshot: changes made between them are found by watching from the first page on.
     if (first) first_position = batch.as_of;
     pages.insert(pages.end(), batch.items.begin(), batch.items.end());
-    next_page = batch.next;
+    next_page = batch.next_page_token;
     if (next_page.empty()) {
         needs_read = false;
         is_synced = true;
@@ -260,10 +260,10 @@
 
 feed_call state_feed::impl::proof_call(feed_source const& source) const
 {
-    return {source, feed_question::freshness, "", position, milliseconds(0), proof_limit};
+    return {source, feed_call_kind::freshness, "", position, milliseconds(0), proof_limit};
 }
 
-char const* state_feed::impl::flaw(feed_reply const& reply) const
+char const* state_feed::impl::flaw(feed_response const& reply) const
 {
     if (reply.status == 0) return reply.reason;
     if (reply.status == feed_status::gone) return nullptr; // The store answers; its history must be read anew.
@@ -273,7 +273,7 @@
 
 bool state_feed::impl::proves_more(milliseconds age) const
 {
-    if (age > fresh_limit) return false;
+    if (age > max_fresh_age) return false;
     auto const own_age = io.now() - confirmed_at;
     return !is_synced || own_age < young || age + younger_by < own_age;
 }
@@ -282,14 +282,14 @@
 {
     searching = on;
     // Until the source that was found has answered, this VM vouches for nothing.
-    events.on_search(on || on_trial);
+    events.on_search_changed(on || on_trial);
 }
 
 void state_feed::impl::report(feed_source const& source, store_batch const& batch)
 {
     auto path = batch.path;
     if (!source.is_store()) path.insert(path.begin(), source.peer_key);
-    events.on_answered(source, confirmed_at, path);
+    events.on_copy_confirmed(source, confirmed_at, path);
 }
 
 void state_feed::impl::search()
@@ -308,7 +308,7 @@
     unanswered = targets.size();
     auto const number = search_number;
     for (auto const& target : targets) {
-        io.ask(proof_call(target), [this, target, number, of_round = round](feed_reply const& reply) {
+        io.check_freshness(proof_call(target), [this, target, number, of_round = round](feed_response const& reply) {
             take_proof(target, reply, number, of_round);
         });
     }
@@ -327,7 +327,7 @@
     });
 }
 
-void state_feed::impl::take_proof(feed_source const& source, feed_reply const& reply, std::uint64_t number,
+void state_feed::impl::take_proof(feed_source const& source, feed_response const& reply, std::uint64_t number,
                                   int of_round)
 {
     auto const* reason = flaw(reply);
@@ -365,17 +365,17 @@
 void state_feed::impl::ask_preferred()
 {
     if (proof_asked || searching) return;
-    auto const source = selector.due_for_proof(events.members(), io.now());
+    auto const source = selector.due_for_recheck(events.members(), io.now());
     if (!source) return;
     proof_asked = true;
-    io.ask(proof_call(*source), [this, from = *source](feed_reply const& reply) {
+    io.check_freshness(proof_call(*source), [this, from = *source](feed_response const& reply) {
         proof_asked = false;
         if (auto const* reason = flaw(reply))
             failed(from, reason);
-        else if (reply.batch.age > fresh_limit)
+        else if (reply.batch.age > max_fresh_age)
             failed(from, "its copy was not confirmed lately");
         else
-            selector.on_answered(from);
+            selector.on_responded(from);
     });
 }
 
--- a/src/feed/state_mirror.cpp
+++ b/src/feed/state_mirror.cpp
@@ -91,7 +91,7 @@
         // All changes of one revision are on one page.
         if (bytes >= page_bytes && changed_at != last) {
             batch.as_of = last;
-            batch.next = last.to_string();
+            batch.next_page_token = last.to_string();
             break;
         }
         last = changed_at;
--- a/src/feed/state_publisher.cpp
+++ b/src/feed/state_publisher.cpp
@@ -28,39 +28,39 @@
     return std::chrono::duration_cast<milliseconds>(m_hooks.now() - m_confirmed_at);
 }
 
-follower_answer state_publisher::dated(store_batch batch) const
+follower_response state_publisher::dated(store_batch batch) const
 {
     batch.age = age();
     batch.path = m_path;
     return {feed_status::ok, std::move(batch), {}};
 }
 
-follower_answer state_publisher::changes_after(store_position from) const
+follower_response state_publisher::changes_after(store_position from) const
 {
     auto changes = m_mirror.changes_after(from);
-    return changes ? dated(std::move(*changes)) : follower_answer{feed_status::gone, {}, {}};
+    return changes ? dated(std::move(*changes)) : follower_response{feed_status::gone, {}, {}};
 }
 
-follower_answer state_publisher::unchanged() const
+follower_response state_publisher::unchanged() const
 {
     auto answer = dated({{}, m_mirror.as_of(), {}, {}, {}});
     answer.body = m_hooks.encode(answer.batch);
     return answer;
 }
 
-void state_publisher::ask(request_key key, follower_question const& asked)
+void state_publisher::handle_request(request_key key, follower_request const& asked)
 {
-    bool const feeds_this = std::find(m_path.begin(), m_path.end(), asked.from) != m_path.end();
-    bool const lost = m_searching && asked.question == feed_question::freshness;
+    bool const feeds_this = std::find(m_path.begin(), m_path.end(), asked.sender) != m_path.end();
+    bool const lost = m_searching && asked.kind == feed_call_kind::freshness;
     if (!m_source || feeds_this || lost) {
-        m_hooks.answer({key}, {feed_status::unavailable, {}, {}});
+        m_hooks.respond({key}, {feed_status::unavailable, {}, {}});
         return;
     }
-    if (asked.question == feed_question::freshness) {
-        m_hooks.answer({key}, unchanged());
+    if (asked.kind == feed_call_kind::freshness) {
+        m_hooks.respond({key}, unchanged());
         return;
     }
-    bool const waits = asked.question == feed_question::watch && !m_mirror.has_changes_after(asked.after);
+    bool const waits = asked.kind == feed_call_kind::watch && !m_mirror.has_changes_after(asked.after);
     if (!waits) {
         m_turns.push_back({asked, {key}, {}, {}});
         serve_turns();
@@ -69,14 +69,14 @@
     m_watches[asked.after].push_back(key);
     m_hooks.run_at(m_hooks.now() + std::min(asked.wait, longest_wait), [this, key] {
         // One whose turn has come meanwhile is told what changed.
-        if (forget_watch(key)) m_hooks.answer({key}, unchanged());
+        if (forget_watch(key)) m_hooks.respond({key}, unchanged());
     });
 }
 
 void state_publisher::make_answer(turn& of, time_point now) const
 {
     if (of.made_at != time_point{} && now < of.made_at + answer_lifetime) return;
-    bool const read = of.asked.question == feed_question::read;
+    bool const read = of.asked.kind == feed_call_kind::read;
     of.answer = read ? dated(m_mirror.page_after(of.asked.after)) : changes_after(of.asked.after);
     if (of.answer.status == feed_status::ok) of.answer.body = m_hooks.encode(of.answer.batch);
     of.made_at = now;
@@ -91,7 +91,7 @@
     std::vector<request_key> const keys(of.keys.begin(), told);
     of.keys.erase(of.keys.begin(), told);
     m_share.on_taken(of.answer.body.size() * keys.size(), now);
-    m_hooks.answer(keys, of.answer);
+    m_hooks.respond(keys, of.answer);
 }
 
 void state_publisher::serve_turns()
@@ -111,7 +111,7 @@
     }
 }
 
-bool state_publisher::forget(request_key key)
+bool state_publisher::cancel(request_key key)
 {
     for (auto turn = m_turns.begin(); turn != m_turns.end(); ++turn) {
         if (std::erase(turn->keys, key) == 0) continue;
@@ -134,7 +134,7 @@
     m_confirmed_at = confirmed_at;
     for (auto& [after, keys] : std::exchange(m_watches, {})) {
         if (keys.empty()) continue;
-        m_turns.push_back({{feed_question::watch, {}, after, milliseconds(0)}, std::move(keys), {}, {}});
+        m_turns.push_back({{feed_call_kind::watch, {}, after, milliseconds(0)}, std::move(keys), {}, {}});
     }
     serve_turns();
 }
--- a/src/gateway/address_answers.cpp
+++ b/src/gateway/address_answers.cpp
@@ -104,7 +104,7 @@
 
 std::string encode_member(gateway_member const& member)
 {
-    return nlohmann::json{{"address", member.address.to_string()}, {"peer", member.peer.to_string()},
+    return nlohmann::json{{"address", member.address.to_string()}, {"peer", member.peer_address.to_string()},
                           {"domain", member.domain.value()},       {"region", member.region.value()},
                           {"capacity", member.capacity},           {"stopping", member.stopping}}
         .dump();
--- a/src/gateway/feed_calls.cpp
+++ b/src/gateway/feed_calls.cpp
@@ -11,11 +11,13 @@
 feed_io feed_calls::io()
 {
     feed_io made;
-    made.call = [this](feed_call const& call, feed_io::reply_hook const& done) {
-        m_channel.call(call.source.address, request_of(call), call.limit,
+    made.fetch = [this](feed_call const& call, feed_io::response_handler const& done) {
+        m_channel.call(call.source.address, request_of(call), call.timeout,
                        [this, call, done](exchange_result const& result) { done(reply_of(call, result)); });
     };
-    made.ask = [this](feed_call call, feed_io::reply_hook done) { ask(std::move(call), std::move(done)); };
+    made.check_freshness = [this](feed_call call, feed_io::response_handler done) {
+        ask(std::move(call), std::move(done));
+    };
     made.now = [this] { return m_loop.now(); };
     made.run_at = [this](time_point when, std::function<void()> task) { m_loop.run_at(when, std::move(task)); };
     return made;
@@ -24,15 +26,15 @@
 http_request feed_calls::request_of(feed_call const& call) const
 {
     auto const& translate = codec(call.source);
-    switch (call.question) {
-    case feed_question::read: return translate.read("", call.page);
-    case feed_question::watch: return translate.watch("", call.after, call.wait);
-    case feed_question::freshness: break;
+    switch (call.kind) {
+    case feed_call_kind::read: return translate.read("", call.page_token);
+    case feed_call_kind::watch: return translate.watch("", call.after, call.wait);
+    case feed_call_kind::freshness: break;
     }
     return translate.freshness(call.after);
 }
 
-feed_reply feed_calls::reply_of(feed_call const& call, exchange_result const& result) const
+feed_response feed_calls::reply_of(feed_call const& call, exchange_result const& result) const
 {
     if (!result.answered) return {0, result.detail, {}};
     if (result.response.status != 200) return {result.response.status, "", {}};
@@ -43,12 +45,12 @@
     }
 }
 
-void feed_calls::ask(feed_call call, feed_io::reply_hook done)
+void feed_calls::ask(feed_call call, feed_io::response_handler done)
 {
     auto const number = ++m_last_ask;
     auto& channel = m_asks[number] = std::make_unique<store_channel>(m_loop);
     auto const address = call.source.address;
-    auto const limit = call.limit;
+    auto const limit = call.timeout;
     auto request = request_of(call);
     channel->call(address, std::move(request), limit,
                   [this, number, call = std::move(call), done = std::move(done)](exchange_result const& result) {
--- a/src/gateway/feed_calls.hpp
+++ b/src/gateway/feed_calls.hpp
@@ -17,11 +17,11 @@
     /** @return @p call as a request. */
     http_request request_of(feed_call const& call) const;
     /** @return what @p result says. */
-    feed_reply reply_of(feed_call const& call, exchange_result const& result) const;
+    feed_response reply_of(feed_call const& call, exchange_result const& result) const;
     /** @return the calls that @p source takes. */
     store_codec const& codec(feed_source const& source) const { return source.is_store() ? m_store : m_peer; }
     /** Asks for proof on a connection of its own, which is closed after the answer. */
-    void ask(feed_call call, feed_io::reply_hook done);
+    void ask(feed_call call, feed_io::response_handler done);
 
     event_loop& m_loop;                                             ///< Event loop.
     store_codec const& m_store;                                     ///< Store calls.
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -42,7 +42,7 @@
     caller_server::hooks hooks;
     hooks.on_request = [this](caller_request request) { on_request(std::move(request)); };
     hooks.on_gone = [this](request_key key) {
-        followers.forget(key);
+        followers.cancel(key);
         requests->caller_gone(key, loop.now());
         wake_dispatcher();
     };
--- a/src/gateway/gateway_impl.hpp
+++ b/src/gateway/gateway_impl.hpp
@@ -33,7 +33,7 @@
     int store_answers = 0;                ///< Answers of the store in a row since the last full read.
     std::vector<learned_change> changes;  ///< What the answer that is being taken in changed.
     bool store_up = false;                ///< The last call to the store succeeded.
-    missing_items missing;                ///< What the store lost when it came back from an older copy.
+    deferred_removals missing;            ///< What the store lost when it came back from an older copy.
     std::uint64_t superseded = 0;         ///< Changes left out so far.
     time_point store_lost_at;             ///< When its calls began to fail.
     state_publisher followers;            ///< Answers the gateways that follow this one.
--- a/src/gateway/gateway_state.cpp
+++ b/src/gateway/gateway_state.cpp
@@ -36,24 +36,25 @@
     feed_events events;
     events.on_snapshot = [this](auto const& items, store_position as_of) { on_snapshot(items, as_of); };
     events.on_changes = [this](auto const& items, store_position as_of) { on_changes(items, as_of); };
-    events.on_failed = [this](feed_source const& source, char const* reason) {
+    events.on_source_failed = [this](feed_source const& source, char const* reason) {
         log.source(source, "failed", reason, followers.age());
         if (source.is_store()) on_store_call(false);
     };
-    events.on_answered = [this](feed_source const& source, time_point confirmed_at, auto const& path) {
+    events.on_copy_confirmed = [this](feed_source const& source, time_point confirmed_at, auto const& path) {
         bool const other = followers.source() != source;
         followers.on_confirmed(source, confirmed_at, path);
         if (other) log.source(source, "used", "", followers.age());
     };
-    events.on_heard = [this](feed_source const& source, milliseconds unheard) {
+    events.on_current_response = [this](feed_source const& source, milliseconds unheard) {
         store_answers = source.is_store() ? store_answers + 1 : 0;
         if (source.is_store()) on_store_call(true);
         // A follower may not have called the store itself during an outage.
-        if (unheard > fresh_limit) on_store_back();
+        if (unheard > max_fresh_age) on_store_back();
     };
-    events.on_search = [this](bool searching) { followers.set_searching(searching); };
+    events.on_search_changed = [this](bool searching) { followers.set_searching(searching); };
     events.members = [this]() -> member_map const& { return members; };
-    feed_place const place{settings.store, member_key(), settings.place.domain, settings.place.region, settings.seeds};
+    feed_selector_settings const place{settings.store, member_key(), settings.place.domain, settings.place.region,
+                                       settings.seeds};
     feed = std::make_unique<state_feed>(feed_selector(place, random()), source_calls.io(), std::move(events));
     registered = std::make_unique<registration>(loop, settings.store, codec, settings.lease_ttl,
                                                 [this](bool ok) { on_store_call(ok); });
@@ -92,7 +93,7 @@
 {
     state_publisher::hooks hooks;
     hooks.encode = encode_peer_batch;
-    hooks.answer = [this](std::vector<request_key> const& keys, follower_answer const& answer) {
+    hooks.respond = [this](std::vector<request_key> const& keys, follower_response const& answer) {
         http_response response;
         response.status = answer.status;
         response.body = answer.body;
@@ -107,14 +108,14 @@
 void gateway::impl::on_follower(request_key key, http_request const& request)
 {
     auto const path = request.path.substr(0, request.path.find('?'));
-    follower_question asked;
-    asked.question = path == peer_paths::state       ? feed_question::read
-                     : path == peer_paths::freshness ? feed_question::freshness
-                                                     : feed_question::watch;
-    asked.from = request.header(peer_paths::from);
+    follower_request asked;
+    asked.kind = path == peer_paths::state       ? feed_call_kind::read
+                 : path == peer_paths::freshness ? feed_call_kind::freshness
+                                                 : feed_call_kind::watch;
+    asked.sender = request.header(peer_paths::sender_header);
     asked.after = parse_position(query_rest(request.path, "after")).value_or(store_position());
     asked.wait = milliseconds(query_number(request.path, "wait_ms").value_or(0));
-    followers.ask(key, asked);
+    followers.handle_request(key, asked);
 }
 
 // ---- Store ----
@@ -135,7 +136,7 @@
 {
     auto const all = differences.size();
     auto const until = loop.now() + lapse_grace;
-    auto taken = missing.hold(std::move(differences), until);
+    auto taken = missing.defer(std::move(differences), until);
     log.store_restored(as_of, known, all - taken.size());
     // Gateways tell what they know of crashes again in this era; what the copy holds of it may be older than that.
     std::erase_if(taken, [](store_item const& item) { return item.key.starts_with(crash_records_prefix); });
@@ -149,8 +150,8 @@
 void gateway::impl::release_missing()
 {
     // Nothing is known to be missing while nobody confirms the copy.
-    if (followers.age() > fresh_limit) {
-        missing.extend(loop.now() + lapse_grace);
+    if (followers.age() > max_fresh_age) {
+        missing.postpone(loop.now() + lapse_grace);
         loop.run_at(loop.now() + lapse_grace, [this] { release_missing(); });
         return;
     }
@@ -165,7 +166,7 @@
 void gateway::impl::take_in(std::vector<store_item> const& changes, store_position as_of)
 {
     for (auto const& item : changes) {
-        missing.forget(item.key);
+        missing.cancel(item.key);
         on_item(item);
     }
     auto const left_out = mirror.superseded() - std::exchange(superseded, mirror.superseded());
--- a/src/gateway/registration.cpp
+++ b/src/gateway/registration.cpp
@@ -86,12 +86,13 @@
 {
     if (ended) return;
     if (lease == 0) {
-        channel.call(store, codec.grant(ttl), call_limit, [this](exchange_result const& r) { take_lease(r); });
+        channel.call(store, codec.grant_lease(ttl), call_limit, [this](exchange_result const& r) { take_lease(r); });
     } else if (!written) {
         channel.call(store, codec.write({{key, value, lease}}), call_limit,
                      [this, sent = value](exchange_result const& r) { take_write(sent, r); });
     } else {
-        channel.call(store, codec.renew(lease), call_limit, [this](exchange_result const& r) { take_renewal(r); });
+        channel.call(store, codec.renew_lease(lease), call_limit,
+                     [this](exchange_result const& r) { take_renewal(r); });
     }
 }
 
@@ -180,7 +181,7 @@
     state.ended = true;
     state.loop.cancel(state.timer);
     if (state.lease == 0) return;
-    state.channel.call(state.store, state.codec.end_lease(state.lease), call_limit, [](exchange_result const&) {});
+    state.channel.call(state.store, state.codec.revoke_lease(state.lease), call_limit, [](exchange_result const&) {});
 }
 
 } // namespace cornelspring
--- a/tests/feed_fleet.cpp
+++ b/tests/feed_fleet.cpp
@@ -20,18 +20,18 @@
 
 /** One gateway. */
 struct feed_fleet::vm_state {
-    std::string key;                                                  ///< Store key.
-    domain_name domain;                                               ///< Failure domain.
-    region_name region;                                               ///< Region.
-    state_mirror mirror;                                              ///< Its copy.
-    std::unique_ptr<state_publisher> publisher;                       ///< Answers others.
-    std::map<std::uint64_t, std::function<void(feed_reply)>> waiting; ///< Questions of others by key.
-    std::unique_ptr<state_feed> feed;                                 ///< Its feed.
-    darkness dark = darkness::none;                                   ///< For everybody.
-    darkness store_dark = darkness::none;                             ///< At the store.
-    std::uint64_t call = 0;                                           ///< Present call for state.
-    time_point busy_until;                                            ///< End of the work that it has.
-    uplink_backlog link;                                              ///< What others were told waits there.
+    std::string key;                                                     ///< Store key.
+    domain_name domain;                                                  ///< Failure domain.
+    region_name region;                                                  ///< Region.
+    state_mirror mirror;                                                 ///< Its copy.
+    std::unique_ptr<state_publisher> publisher;                          ///< Answers others.
+    std::map<std::uint64_t, std::function<void(feed_response)>> waiting; ///< Questions of others by key.
+    std::unique_ptr<state_feed> feed;                                    ///< Its feed.
+    darkness dark = darkness::none;                                      ///< For everybody.
+    darkness store_dark = darkness::none;                                ///< At the store.
+    std::uint64_t call = 0;                                              ///< Present call for state.
+    time_point busy_until;                                               ///< End of the work that it has.
+    uplink_backlog link;                                                 ///< What others were told waits there.
 };
 
 feed_fleet::feed_fleet(int vms, int domains, std::uint64_t seed) : m_random(seed)
@@ -54,7 +54,7 @@
     auto& vm = *m_vms[static_cast<std::size_t>(i)];
     state_publisher::hooks hooks;
     hooks.encode = encode_peer_batch;
-    hooks.answer = [&vm](std::vector<request_key> const& keys, follower_answer const& answer) {
+    hooks.respond = [&vm](std::vector<request_key> const& keys, follower_response const& answer) {
         for (auto const key : keys) {
             auto const found = vm.waiting.find(key.value());
             if (found == vm.waiting.end()) continue;
@@ -67,13 +67,15 @@
     hooks.now = [this] { return m_todo.now(); };
     vm.publisher = std::make_unique<state_publisher>(vm.mirror, std::move(hooks));
     feed_io io;
-    io.call = [this, i, &vm](feed_call const& call, feed_io::reply_hook const& done) {
+    io.fetch = [this, i, &vm](feed_call const& call, feed_io::response_handler const& done) {
         auto const number = ++vm.call;
-        deliver(i, call, [&vm, number, done](feed_reply reply) {
+        deliver(i, call, [&vm, number, done](feed_response reply) {
             if (number == vm.call) done(std::move(reply));
         });
     };
-    io.ask = [this, i](feed_call const& call, feed_io::reply_hook const& done) { deliver(i, call, done); };
+    io.check_freshness = [this, i](feed_call const& call, feed_io::response_handler const& done) {
+        deliver(i, call, done);
+    };
     io.now = [this] { return m_todo.now(); };
     io.run_at = [this](time_point when, std::function<void()> task) {
         m_todo.at(std::max(when, m_todo.now()), std::move(task));
@@ -81,14 +83,14 @@
     feed_events events;
     events.on_snapshot = [&vm](auto const& items, store_position as_of) { vm.mirror.replace(items, as_of); };
     events.on_changes = [&vm](auto const& items, store_position as_of) { vm.mirror.apply(items, as_of); };
-    events.on_failed = [](feed_source const&, char const*) {};
-    events.on_answered = [&vm](feed_source const& source, time_point at, auto const& path) {
+    events.on_source_failed = [](feed_source const&, char const*) {};
+    events.on_copy_confirmed = [&vm](feed_source const& source, time_point at, auto const& path) {
         vm.publisher->on_confirmed(source, at, path);
     };
-    events.on_heard = [](feed_source const&, milliseconds) {};
-    events.on_search = [&vm](bool searching) { vm.publisher->set_searching(searching); };
+    events.on_current_response = [](feed_source const&, milliseconds) {};
+    events.on_search_changed = [&vm](bool searching) { vm.publisher->set_searching(searching); };
     events.members = [this]() -> member_map const& { return m_members; };
-    feed_place const place{{"10.9.9.9", 1}, vm.key, vm.domain, vm.region, {}};
+    feed_selector_settings const place{{"10.9.9.9", 1}, vm.key, vm.domain, vm.region, {}};
     vm.feed = std::make_unique<state_feed>(feed_selector(place, m_random()), std::move(io), std::move(events));
     vm.feed->start();
 }
@@ -253,14 +255,14 @@
 
 int feed_fleet::index_of(std::string const& key) const { return std::stoi(key.substr(2)) - 1000; }
 
-void feed_fleet::deliver(int from, feed_call const& call, feed_io::reply_hook const& done)
+void feed_fleet::deliver(int from, feed_call const& call, feed_io::response_handler const& done)
 {
     auto const open = std::make_shared<bool>(true);
-    auto const finish = [open, done](feed_reply reply) {
+    auto const finish = [open, done](feed_response reply) {
         if (!std::exchange(*open, false)) return;
         done(std::move(reply));
     };
-    after(call.limit, [finish] { finish({0, "no answer in time", {}}); });
+    after(call.timeout, [finish] { finish({0, "no answer in time", {}}); });
     auto const& vm = *m_vms[static_cast<std::size_t>(from)];
     bool const outgoing = vm.dark == darkness::none || vm.dark == darkness::refused;
     if (!outgoing) return; // Silent or stale: nothing of its own gets through.
@@ -273,7 +275,7 @@
     // A connection and the question: two round trips, less the way back of the answer.
     auto const there = 3 * way[distance] + turn();
     auto const back = way[distance];
-    auto const reply = [this, from, finish, back, turn, source = call.source](feed_reply result) {
+    auto const reply = [this, from, finish, back, turn, source = call.source](feed_response result) {
         auto const bytes = encode_peer_batch(result.batch).size();
         auto const cost = m_per_item * static_cast<int>(result.batch.items.size());
         clock::duration sending{0};
@@ -296,14 +298,14 @@
     });
 }
 
-void feed_fleet::ask_store(int from, feed_call const& call, std::function<void(feed_reply)> const& reply)
+void feed_fleet::ask_store(int from, feed_call const& call, std::function<void(feed_response)> const& reply)
 {
     auto const& vm = *m_vms[static_cast<std::size_t>(from)];
     if (vm.store_dark == darkness::silent || vm.dark != darkness::none) return;
     ++m_store_calls;
     if (vm.store_dark == darkness::refused) return reply({503, "", {}});
-    if (call.question == feed_question::read) {
-        auto const from = parse_position(call.page).value_or(store_position());
+    if (call.kind == feed_call_kind::read) {
+        auto const from = parse_position(call.page_token).value_or(store_position());
         after(store_time, [this, reply, from] { reply({200, "", m_store.page_after(from)}); });
         return;
     }
@@ -311,8 +313,8 @@
     store_position const known{m_position.era, call.after.revision};
     if (known > m_position) return reply({410, "", {}});
     auto changes = m_store.changes_after(known);
-    bool const waits = call.question == feed_question::watch && changes && changes->items.empty();
-    if (!waits) return reply(changes ? feed_reply{200, "", *changes} : feed_reply{410, "", {}});
+    bool const waits = call.kind == feed_call_kind::watch && changes && changes->items.empty();
+    if (!waits) return reply(changes ? feed_response{200, "", *changes} : feed_response{410, "", {}});
     auto const open = std::make_shared<bool>(true);
     m_watches.push_back({known, reply, open});
     after(call.wait, [this, open, reply] {
@@ -327,18 +329,18 @@
     }
 }
 
-void feed_fleet::ask_peer(int from, feed_call const& call, std::function<void(feed_reply)> const& reply)
+void feed_fleet::ask_peer(int from, feed_call const& call, std::function<void(feed_response)> const& reply)
 {
     auto& peer = *m_vms[static_cast<std::size_t>(index_of(call.source.peer_key))];
     if (peer.dark == darkness::silent) return;
     if (peer.dark == darkness::refused) return reply({503, "", {}});
     request_key const key(++m_last_key);
-    peer.waiting[key.value()] = [this, &peer, reply](feed_reply const& result) {
+    peer.waiting[key.value()] = [this, &peer, reply](feed_response const& result) {
         if (peer.dark != darkness::silent) reply(result);
     };
     auto const known =
-        call.question == feed_question::read ? parse_position(call.page).value_or(store_position()) : call.after;
-    peer.publisher->ask(key, {call.question, m_vms[static_cast<std::size_t>(from)]->key, known, call.wait});
+        call.kind == feed_call_kind::read ? parse_position(call.page_token).value_or(store_position()) : call.after;
+    peer.publisher->handle_request(key, {call.kind, m_vms[static_cast<std::size_t>(from)]->key, known, call.wait});
 }
 
 } // namespace cornelspring::testing
--- a/tests/feed_fleet.hpp
+++ b/tests/feed_fleet.hpp
@@ -77,17 +77,17 @@
     /** Takes bytes to a VM's link. @return how long it takes until they have left. */
     clock::duration transfer(vm_state& vm, std::size_t bytes);
     /** Delivers a call of @p from. @return when its answer arrives at the earliest. */
-    void deliver(int from, feed_call const& call, feed_io::reply_hook const& done);
-    void ask_store(int from, feed_call const& call, std::function<void(feed_reply)> const& reply);
-    void ask_peer(int from, feed_call const& call, std::function<void(feed_reply)> const& reply);
+    void deliver(int from, feed_call const& call, feed_io::response_handler const& done);
+    void ask_store(int from, feed_call const& call, std::function<void(feed_response)> const& reply);
+    void ask_peer(int from, feed_call const& call, std::function<void(feed_response)> const& reply);
     void answer_store_watches();
     int index_of(std::string const& key) const;
 
     /** A watch that waits at the store. */
     struct store_watch {
-        store_position after;                   ///< What it knows.
-        std::function<void(feed_reply)> answer; ///< Answers it.
-        std::shared_ptr<bool> open;             ///< Still waits.
+        store_position after;                      ///< What it knows.
+        std::function<void(feed_response)> answer; ///< Answers it.
+        std::shared_ptr<bool> open;                ///< Still waits.
     };
 
     agenda m_todo;
--- a/tests/test_gateway_state.cpp
+++ b/tests/test_gateway_state.cpp
@@ -95,14 +95,14 @@
 
 TEST_CASE("what is missing after a return to an older copy is held back, unless it is written again")
 {
-    missing_items missing;
+    deferred_removals missing;
     time_point const now{100s};
     auto const taken =
-        missing.hold({{"a", "", at(9, 2), true}, {"b", "2", at(8, 2), false}, {"c", "", at(9, 2), true}}, now + 2s);
+        missing.defer({{"a", "", at(9, 2), true}, {"b", "2", at(8, 2), false}, {"c", "", at(9, 2), true}}, now + 2s);
     REQUIRE(taken.size() == 1);
     CHECK(taken[0].key == "b");
     CHECK(missing.take_due(now + 1s).empty());
-    missing.forget("a");
+    missing.cancel("a");
     auto const due = missing.take_due(now + 2s);
     REQUIRE(due.size() == 1);
     CHECK(due[0].key == "c");
@@ -175,10 +175,10 @@
     {
         second.on_failed({"g/1", {}}, now);
         CHECK_FALSE(second.choose(members));
-        CHECK_FALSE(second.due_for_proof(members, now + 2s));
-        REQUIRE(second.due_for_proof(members, now + 4s));
-        CHECK(second.due_for_proof(members, now + 4s)->peer_key == "g/1");
-        second.on_answered({"g/1", {}});
+        CHECK_FALSE(second.due_for_recheck(members, now + 2s));
+        REQUIRE(second.due_for_recheck(members, now + 4s));
+        CHECK(second.due_for_recheck(members, now + 4s)->peer_key == "g/1");
+        second.on_responded({"g/1", {}});
         CHECK(second.choose(members)->peer_key == "g/1");
     }
     SUBCASE("one that stops is not followed")
@@ -310,7 +310,7 @@
     auto const member = member_of("d", "r", 7, 0.25);
     auto const read = decode_member(encode_member(member));
     CHECK(read.address == member.address);
-    CHECK(read.peer == member.peer);
+    CHECK(read.peer_address == member.peer_address);
     CHECK(read.domain == member.domain);
     CHECK(read.capacity == doctest::Approx(0.25));
     CHECK_THROWS_AS(decode_member("{}"), error);
--- a/tests/test_state_feed.cpp
+++ b/tests/test_state_feed.cpp
@@ -139,10 +139,10 @@
     mirror.replace({}, at(1));
     time_point now{};
     std::vector<std::pair<time_point, std::function<void()>>> tasks;
-    std::map<std::uint64_t, follower_answer> answers;
+    std::map<std::uint64_t, follower_response> answers;
     state_publisher::hooks hooks;
     hooks.encode = [](store_batch const& batch) { return std::string(batch.items.empty() ? 0 : 60000, 'x'); };
-    hooks.answer = [&](std::vector<request_key> const& keys, follower_answer const& answer) {
+    hooks.respond = [&](std::vector<request_key> const& keys, follower_response const& answer) {
         for (auto const key : keys)
             answers[key.value()] = answer;
     };
@@ -152,7 +152,7 @@
     publisher.set_uplink(100e3);
     publisher.on_confirmed({"", {"10.9.9.9", 1}}, now, {});
     for (std::uint64_t key = 1; key <= 3; ++key)
-        publisher.ask(request_key(key), {feed_question::watch, "g", at(1), 100ms});
+        publisher.handle_request(request_key(key), {feed_call_kind::watch, "g", at(1), 100ms});
     mirror.apply({{"k", "v", at(2), false}}, at(2));
     publisher.on_confirmed({"", {"10.9.9.9", 1}}, now, {});
     CHECK(answers.size() == 1); // The next turn comes when half of the link has carried the first answer.
@@ -354,7 +354,7 @@
         REQUIRE(batch);
         items += batch->items.size();
         position = batch->as_of;
-        if (batch->next.empty()) break;
+        if (batch->next_page_token.empty()) break;
         CHECK(batch->items.size() * 200 < 2 * state_mirror::page_bytes);
     }
     CHECK(items == 600);
@@ -372,7 +372,7 @@
     response.body = encode_peer_batch(batch);
     auto const read = codec.parse_batch(response);
     CHECK(read.as_of == at(900));
-    CHECK(read.next == "1.7");
+    CHECK(read.next_page_token == "1.7");
     CHECK(read.age == 250ms);
     CHECK(read.path == batch.path);
     REQUIRE(read.items.size() == 300);
