--- a/include/cornelspring/gateway.hpp
+++ b/include/cornelspring/gateway.hpp
@@ -127,9 +127,9 @@
 
 /** What a caller's connection delivers to the service. */
 struct caller_request {
-    request_key key;       ///< For answer().
+    request_key key;       ///< For respond().
     http_request message;  ///< The request.
-    bool local = false;    ///< Arrived on an address for the system's own calls, not for forwarding.
+    bool internal = false; ///< Arrived on an address for the system's own calls, not for forwarding.
     request_timing timing; ///< Its time before it was read and after it will be answered.
     caller_address caller; ///< Who sent it.
 };
@@ -139,7 +139,7 @@
 public:
     /** Hooks of the service. */
     struct hooks {
-        std::function<void(caller_request)> on_request; ///< A whole request; answer() follows, now or later.
+        std::function<void(caller_request)> on_request; ///< A whole request; respond() follows, now or later.
         std::function<void(request_key)> on_gone;       ///< The caller left before its answer.
         std::function<caller_limits()> limits;          ///< Limits in force.
         /** A request was refused before routing. @param status answered. @param reason why. */
@@ -152,9 +152,9 @@
      *  @return the bound port. */
     std::uint16_t listen(endpoint const& address, bool local);
     /** Answers a request; does nothing when its caller has left. @param key request. @param response answer. */
-    void answer(request_key key, http_response response);
+    void respond(request_key key, http_response response);
     /** From now on each answer closes its connection. */
-    void close_after_answers();
+    void close_after_responses();
     /** Stops accepting and closes idle connections. */
     void stop_listening();
     /** @return open connections of callers for forwarding. */
@@ -183,7 +183,7 @@
  */
 std::set<std::string> choose_active(member_map const& members, std::size_t most);
 /** What a caller asks before it connects. */
-struct address_question {
+struct address_query {
     std::string host;   ///< Host that it wants to ask.
     region_name region; ///< Its region.
     domain_name domain; ///< Its failure domain.
@@ -198,33 +198,33 @@
  * @return addresses, in random order.
  */
 std::vector<endpoint> choose_addresses(member_map const& members, std::set<std::string> const& active,
-                                       address_question const& asked, region_set const& homes, std::mt19937_64& random);
+                                       address_query const& asked, region_set const& homes, std::mt19937_64& random);
 
 /** Settings of a gateway process. */
 struct gateway_settings {
-    std::string name;                        ///< Name of this VM.
-    std::optional<endpoint> caller_address;  ///< Where callers connect.
-    std::vector<endpoint> local_addresses;   ///< Addresses for readiness, address and state questions.
-    std::optional<endpoint> peer_address;    ///< Of these, the one other gateways use.
-    std::optional<endpoint> metrics_address; ///< Where metrics are served.
-    std::vector<endpoint> seeds;             ///< Peer addresses of some gateways; may be stale.
-    locality place;                          ///< Where this VM is.
-    endpoint store;                          ///< The platform's store.
-    std::string ready_path;                  ///< Path of the readiness question.
-    std::string addresses_path;              ///< Path of the address question.
-    std::string metrics_path = "/metrics";   ///< Path of the metrics.
-    double capacity = 1;                     ///< Processor cores this VM may use.
-    double uplink_bytes_per_s = 0;           ///< What its link carries; 0: not known.
-    milliseconds lease_ttl{6000};            ///< Time to live of this VM's registration.
-    milliseconds stop_limit{5500};           ///< A stop ends after this, whatever is open.
-    int addresses_ttl_s = 4;                 ///< How long callers keep an address answer.
-    dispatcher_options dispatch;             ///< Decisions.
-    warmup_limits warmup;                    ///< Bound on requests to cold backend servers.
-    pool_options pool;                       ///< Connections to backend servers.
+    std::string name;                         ///< Name of this VM.
+    std::optional<endpoint> caller_address;   ///< Where callers connect.
+    std::vector<endpoint> internal_addresses; ///< Addresses for readiness, address and state questions.
+    std::optional<endpoint> peer_address;     ///< Of these, the one other gateways use.
+    std::optional<endpoint> metrics_address;  ///< Where metrics are served.
+    std::vector<endpoint> seeds;              ///< Peer addresses of some gateways; may be stale.
+    locality location;                        ///< Where this VM is.
+    endpoint store;                           ///< The platform's store.
+    std::string ready_path;                   ///< Path of the readiness question.
+    std::string addresses_path;               ///< Path of the address question.
+    std::string metrics_path = "/metrics";    ///< Path of the metrics.
+    double capacity = 1;                      ///< Processor cores this VM may use.
+    double uplink_bytes_per_s = 0;            ///< What its link carries; 0: not known.
+    milliseconds lease_ttl{6000};             ///< Time to live of this VM's registration.
+    milliseconds stop_timeout{5500};          ///< A stop ends after this, whatever is open.
+    int addresses_ttl_s = 4;                  ///< How long callers keep an address answer.
+    dispatcher_options dispatch;              ///< Decisions.
+    warmup_limits warmup;                     ///< Bound on requests to cold backend servers.
+    pool_options pool;                        ///< Connections to backend servers.
     /** Writes the answer to an address question. */
     std::function<std::string(std::vector<endpoint> const& addresses, int ttl_s)> encode_addresses;
     /** Reads an address question from its target. */
-    std::function<address_question(std::string const& target)> decode_question;
+    std::function<address_query(std::string const& target)> decode_address_query;
 };
 
 // ---- Registration ----
--- a/src/gateway/address_answers.cpp
+++ b/src/gateway/address_answers.cpp
@@ -86,7 +86,7 @@
 }
 
 std::vector<endpoint> choose_addresses(member_map const& members, std::set<std::string> const& active,
-                                       address_question const& asked, region_set const& homes, std::mt19937_64& random)
+                                       address_query const& asked, region_set const& homes, std::mt19937_64& random)
 {
     auto const in_domain = [&](gateway_member const& each) { return each.domain == asked.domain; };
     auto const in_region = [&](gateway_member const& each) { return each.region == asked.region; };
--- a/src/gateway/caller_server.cpp
+++ b/src/gateway/caller_server.cpp
@@ -49,7 +49,7 @@
     void remove(std::uint64_t number);
     void set_timer(std::uint64_t number, connection& of, milliseconds limit);
     void on_timer(std::uint64_t number);
-    void answer(request_key key, http_response response);
+    void respond(request_key key, http_response response);
     caller_limits limits_of(connection const& of) const;
 };
 
@@ -212,7 +212,7 @@
     if (!entry->local) --caller_connections;
 }
 
-void caller_server::impl::answer(request_key key, http_response response)
+void caller_server::impl::respond(request_key key, http_response response)
 {
     auto const found = serving.find(key.value());
     if (found == serving.end()) return;
@@ -259,9 +259,9 @@
     return m_impl->listeners.back()->port();
 }
 
-void caller_server::answer(request_key key, http_response response) { m_impl->answer(key, std::move(response)); }
+void caller_server::respond(request_key key, http_response response) { m_impl->respond(key, std::move(response)); }
 
-void caller_server::close_after_answers() { m_impl->closing = true; }
+void caller_server::close_after_responses() { m_impl->closing = true; }
 
 void caller_server::stop_listening()
 {
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -27,7 +27,7 @@
     dispatcher_hooks hooks;
     hooks.send = [this](attempt_order order) { pool->send(std::move(order)); };
     hooks.cancel = [this](attempt_id id) { pool->cancel(id); };
-    hooks.answer = [this](request_key key, http_response response) { callers->answer(key, std::move(response)); };
+    hooks.answer = [this](request_key key, http_response response) { callers->respond(key, std::move(response)); };
     hooks.finished = [this](request_summary const& summary) {
         metrics.on_request(summary);
         log.on_request(summary, followers.age());
@@ -50,7 +50,7 @@
     hooks.on_refused = [this](int status, char const* reason) { log.on_refused(status, reason); };
     callers = std::make_unique<caller_server>(loop, std::move(hooks));
     if (settings.caller_address) callers->listen(*settings.caller_address, false);
-    for (auto const& address : settings.local_addresses)
+    for (auto const& address : settings.internal_addresses)
         callers->listen(address, true);
     if (settings.metrics_address) callers->listen(*settings.metrics_address, true);
 }
@@ -73,8 +73,8 @@
 {
     return {settings.caller_address.value_or(endpoint{}),
             settings.peer_address.value_or(endpoint{}),
-            settings.place.domain,
-            settings.place.region,
+            settings.location.domain,
+            settings.location.region,
             settings.capacity,
             stopping};
 }
@@ -83,7 +83,7 @@
 
 void gateway::impl::on_request(caller_request request)
 {
-    if (request.local) {
+    if (request.internal) {
         on_local(request.key, request.message);
         return;
     }
@@ -113,12 +113,12 @@
     } else {
         response.status = 404;
     }
-    callers->answer(key, std::move(response));
+    callers->respond(key, std::move(response));
 }
 
 http_response gateway::impl::addresses(std::string const& target)
 {
-    auto const asked = settings.decode_question(target);
+    auto const asked = settings.decode_address_query(target);
     auto const homes = configs.current() ? configs.current()->homes_of_host(asked.host) : region_set{};
     auto chosen = choose_addresses(members, active, asked, homes, random);
     // Before a gateway hears of any registration, its own included, it knows one that serves: itself.
@@ -144,20 +144,20 @@
     stop_began = loop.now();
     log.process("stopping");
     if (settings.caller_address) registered->set(member_key(), encode_member(self()));
-    callers->close_after_answers();
+    callers->close_after_responses();
     stop_step();
 }
 
 void gateway::impl::stop_step()
 {
     auto const now = loop.now();
-    if (!stopped_accepting && now >= stop_began + settings.stop_limit - finish_time) {
+    if (!stopped_accepting && now >= stop_began + settings.stop_timeout - finish_time) {
         stopped_accepting = true;
         registered->end();
         callers->stop_listening();
     }
     bool const idle = stopped_accepting && requests->open_requests() == 0 && callers->connections() == 0;
-    if (idle || now >= stop_began + settings.stop_limit) {
+    if (idle || now >= stop_began + settings.stop_timeout) {
         requests->abandon_all(now);
         loop.run_at(now + stop_poll, [this] { loop.stop(); });
         return;
--- a/src/gateway/gateway_impl.hpp
+++ b/src/gateway/gateway_impl.hpp
@@ -58,9 +58,9 @@
     bool stopped_accepting = false;                 ///< Listeners are closed.
 
     impl(gateway_settings s, store_codec c)
-        : settings(std::move(s)), codec(std::move(c)), registry(settings.place, lapse_grace), places(settings.warmup),
-          followers(mirror, follower_hooks()), log(loop), peer_codec(make_peer_codec(member_key())),
-          source_calls(loop, codec, peer_codec)
+        : settings(std::move(s)), codec(std::move(c)), registry(settings.location, lapse_grace),
+          places(settings.warmup), followers(mirror, follower_hooks()), log(loop),
+          peer_codec(make_peer_codec(member_key())), source_calls(loop, codec, peer_codec)
     {
         loop.set_uplink(settings.uplink_bytes_per_s);
         followers.set_uplink(settings.uplink_bytes_per_s);
--- a/src/gateway/gateway_state.cpp
+++ b/src/gateway/gateway_state.cpp
@@ -53,7 +53,8 @@
     };
     events.on_search = [this](bool searching) { followers.set_searching(searching); };
     events.members = [this]() -> member_map const& { return members; };
-    feed_place const place{settings.store, member_key(), settings.place.domain, settings.place.region, settings.seeds};
+    feed_place const place{settings.store, member_key(), settings.location.domain, settings.location.region,
+                           settings.seeds};
     feed = std::make_unique<state_feed>(feed_selector(place, random()), source_calls.io(), std::move(events));
     registered = std::make_unique<registration>(loop, settings.store, codec, settings.lease_ttl,
                                                 [this](bool ok) { on_store_call(ok); });
@@ -97,7 +98,7 @@
         response.status = answer.status;
         response.body = answer.body;
         for (auto const key : keys)
-            callers->answer(key, response);
+            callers->respond(key, response);
     };
     hooks.run_at = [this](time_point when, std::function<void()> task) { loop.run_at(when, std::move(task)); };
     hooks.now = [this] { return loop.now(); };
--- a/tests/stand_in/main.cpp
+++ b/tests/stand_in/main.cpp
@@ -74,7 +74,7 @@
         if (message.path == "/entries") answer = entries();
         if (message.path == "/journal") answer = journal();
         if (message.path == "/behave") behave(json::parse(message.body));
-        m_control.answer(request.key, json_response(200, answer.dump()));
+        m_control.respond(request.key, json_response(200, answer.dump()));
     }
     json entries() const
     {
--- a/tests/stand_in/platform_store.cpp
+++ b/tests/stand_in/platform_store.cpp
@@ -89,7 +89,7 @@
 void platform_store::answer(request_key key, http_response response)
 {
     response.headers.push_back({"store-era", std::to_string(m_era)});
-    m_server.answer(key, std::move(response));
+    m_server.respond(key, std::move(response));
 }
 
 void platform_store::restore()
--- a/tests/test_busy_process.cpp
+++ b/tests/test_busy_process.cpp
@@ -22,7 +22,7 @@
             deadlines.push_back(request.message.header("deadline"));
             http_response response;
             response.headers = {{"signature", "s"}};
-            server->answer(request.key, std::move(response));
+            server->respond(request.key, std::move(response));
         };
         hooks.on_gone = [](request_key) {};
         hooks.limits = [] { return caller_limits{}; };
--- a/tests/test_gateway_state.cpp
+++ b/tests/test_gateway_state.cpp
@@ -32,7 +32,7 @@
 }
 
 /** @return the address question of a caller in @p domain of @p region. */
-address_question question(std::string const& region, std::string const& domain)
+address_query question(std::string const& region, std::string const& domain)
 {
     return {"h.example", region_name(region), domain_name(domain)};
 }
--- a/tests/test_places.cpp
+++ b/tests/test_places.cpp
@@ -238,7 +238,7 @@
         auto const regions_named = [&](member_map const& live, std::string const& from, region_set const& homes) {
             std::set<std::string> found;
             auto const active = choose_active(live, 20);
-            address_question const asked{"h", region_name(from), domain_name("none")};
+            address_query const asked{"h", region_name(from), domain_name("none")};
             for (auto const& address : choose_addresses(live, active, asked, homes, random))
                 found.insert("r" + std::to_string(address.port % 3));
             return found;
