--- a/include/cornelspring/dispatch.hpp
+++ b/include/cornelspring/dispatch.hpp
@@ -1,6 +1,6 @@
 /**
- * @file dispatch.hpp The life of a request over its shards, without sockets or clock reads: admission, attempts, hedges
- * and retries, merging, and when its answer leaves.
+ * @file dispatch.hpp Processing of a request over its shards, without sockets or clock reads: admission, attempts,
+ * hedges and retries, merging, and when the response is sent.
  */
 #pragma once
 
@@ -11,87 +11,96 @@
 
 // ---- Admission ----
 
-/** What admission went by. */
+/** Outcome of admission control for one query, with its inputs for the log. */
 struct admission_decision {
-    bool admitted = true; ///< The query may begin.
-    double wait_ms = 0;   ///< Present wait for half of a query's shards.
-    double share = 1;     ///< Share of such queries that is let in.
+    bool admitted = true; ///< The query may start.
+    double wait_ms = 0;   ///< Current wait until half of a query's shards have responded.
+    double share = 1;     ///< Share of such queries that is admitted.
 };
 
-/** A query that asks for admission. */
+/** Properties of a query that admission control decides about. */
 struct admission_request {
-    milliseconds goal{1000};      ///< Goal of its route.
-    time_point started_at;        ///< When it began.
-    bool highest_priority = true; ///< No other route to its services has a higher rank.
-    bool retried = false;         ///< Its caller was refused before.
-    double max_share = 1;         ///< Share of such queries that its shards leave, by coverable_share().
+    milliseconds goal{1000};      ///< Latency goal of its route.
+    time_point started_at;        ///< When it started.
+    bool highest_priority = true; ///< No other route over the same shards has a higher priority.
+    bool retried = false;         ///< Its caller has sent it before, judging by the time already spent.
+    double max_share = 1;         ///< Upper bound on the admitted share, from coverable_share().
 };
 
 /**
- * @return the share of queries that can be answered, as far as their slowest shards decide it. It answers windows in
- * which more shards are full or gone than a query can spare, though most are well: half of the shards answer at once,
- * so that admission by their wait lets all queries in, and those that end failed have taken places of the others in
- * vain. Callers that can't be served are told at once, truly not run and when to come back.
- * @param answered_shares how often each shard answered lately. @param needed shards that a success needs.
+ * @return the share of queries that can reach their minimum coverage, estimated from the shards that respond least
+ * often. Admission by wait time does not notice when more shards are overloaded or down than a query may leave out
+ * while the other shards are healthy: half of the shards still respond quickly, so all queries are admitted, and those
+ * that fail use capacity that the others need. With this bound, the excess queries are rejected on arrival, before any
+ * attempt is sent, with a Retry-After header.
+ * @param answered_shares share of recent requests to which each shard responded. @param needed number of shards that a
+ * successful response needs.
  */
 double coverable_share(std::vector<double> answered_shares, std::size_t needed);
 
 /**
- * Lets in a share of the queries over one set of shards. It answers load beyond what the backend servers, or this VM,
- * can do (many users at once, callers that repeat, all VMs back after a restart): without it every query waits in
- * their queues and all are late. The share falls with the wait that is measured: the time until half of a query's
- * shards have answered, against what is usual and what its goal leaves. A few slow or dead backend servers do not show
- * in the half that answers first. A share works at any number of VMs, where a bound on each VM's open queries cannot
- * go below one: seven VMs with four each already queue for longer than urgent callers have.
+ * Load shedding for the queries over one set of shards: admits a share of them when the load exceeds what the backend
+ * servers or this VM can handle, for example many users at once, callers that retry, or all VMs restarting together.
+ * Without it, every query waits in the queues of the backend servers and all responses are late.
+ * The share decreases as the measured wait grows. The wait is the time until half of a query's shards have responded,
+ * compared to its usual value and to the latency goal. A few slow or failed backend servers do not affect it, as their
+ * shards are not among the first half to respond.
+ * A share works with any number of VMs, whereas a limit on the open queries of each VM cannot go below one: seven VMs
+ * with four open queries each already cause queues longer than callers of high priority can wait.
  */
 class admission_control {
 public:
-    /** @return whether a query may begin, and why; on_half_responded() or on_finished() follows. @param request query.
-     *  @param draw random number from 0 to 1. @param now present time. */
+    /** Decides whether a query may start. on_half_responded() or on_finished() must follow when it is admitted.
+     *  @return the decision and its inputs. @param request query. @param draw random number from 0 to 1.
+     *  @param now current time. */
     admission_decision admit(admission_request const& request, double draw, time_point now);
-    /** Half of a query's shards have answered. @param begun when it began. @param now present time. */
+    /** Half of a query's shards have responded. @param begun when the query started. @param now current time. */
     void on_half_responded(time_point begun, time_point now);
-    /** A query ended before half of its shards had answered. @param begun when it began. */
+    /** A query finished before half of its shards had responded. @param begun when the query started. */
     void on_finished(time_point begun);
-    /** @return whether queries with @p goal queue at the backend servers. @param goal goal. @param now present time. */
+    /** @return whether queries queue at the backend servers, relative to @p goal. @param goal latency goal.
+     *  @param now current time. */
     bool congested(milliseconds goal, time_point now) const;
 
 private:
-    /** @return the present wait for half of the shards. */
+    /** @return the current wait until half of a query's shards have responded. */
     double wait_ms(time_point now) const;
-    /** @return the wait beyond the usual one, as a share of what the goal leaves beyond it. */
+    /** @return the wait in excess of the usual wait, divided by the time between the usual wait and the goal. */
     double strain(milliseconds goal, time_point now) const;
-    /** @return the share of queries like @p request that is let in. */
+    /** @return the share of queries like @p request that is admitted. */
     double share(admission_request const& request, time_point now);
 
-    double m_wait_ms = 0;                                        ///< Average wait.
-    double m_usual_ms = std::numeric_limits<double>::infinity(); ///< Wait without a queue.
-    double m_urgent_share = 1;                                   ///< Share of the most urgent ones last let in.
-    double m_gap_ms = 0;                                         ///< Average time between two queries.
-    time_point m_asked_at;                                       ///< Time of the last query.
-    time_point m_sampled_at;                                     ///< Time of the last sample.
-    std::multiset<time_point> m_waiting;                         ///< Begins of queries without half of their shards.
+    double m_wait_ms = 0;                                        ///< Moving average of the wait.
+    double m_usual_ms = std::numeric_limits<double>::infinity(); ///< Usual wait, without a queue.
+    double m_urgent_share = 1;           ///< Admitted share of the queries of highest priority, as last computed.
+    double m_gap_ms = 0;                 ///< Average time between two queries.
+    time_point m_asked_at;               ///< Time of the last query.
+    time_point m_sampled_at;             ///< Time of the last sample of the wait.
+    std::multiset<time_point> m_waiting; ///< Start times of queries waiting for half of their shards.
 };
 
 // ---- Merging records ----
 
-/** Bytes of one record of a shard's answer. */
+/** Size in bytes of one record in a shard's response. */
 inline constexpr std::size_t record_size = 16;
 /**
- * @return the greatest @p top_k records of all @p bodies, greatest first, compared byte by byte; equal ones all count.
- * @param bodies shard answers; a remainder shorter than a record is left out. @param top_k records wanted.
+ * @return the greatest @p top_k records of all @p bodies, greatest first, compared byte by byte. Duplicates are kept.
+ * @param bodies bodies of the shard responses; a trailing part shorter than a record is ignored.
+ * @param top_k maximum number of records to return.
  */
 std::string merge_records(std::vector<std::string_view> const& bodies, std::size_t top_k);
 
-// ---- Connections ahead ----
+// ---- Pre-connect ----
 
 /**
- * @return backend servers of shards to which this VM has no connection and should make one, the near ones first and
- * equally near ones in random order, so that VMs do not all knock at the same one. It answers the first queries after a
- * start, a reshard or a quiet time, and second attempts at servers that seldom get one: a connection that does not
- * exist yet costs two round trips and the server's handshake, which is most of what an urgent caller has.
- * @param config configuration. @param registry backend servers. @param places which of them may be reached.
- * @param connected tells whether there is a connection. @param random order. @param now present time.
+ * @return backend servers of the shards of gather routes to which this VM should open a connection before a request
+ * needs it. Nearer servers come first. Servers at the same distance are in random order, so that VMs do not all connect
+ * to the same one at once.
+ * Pre-connecting speeds up the first queries after a start, a reshard or an idle period, and hedges to servers that
+ * rarely receive one. Opening a connection takes two round trips and the server's handshake, which is most of the time
+ * that a caller of high priority waits.
+ * @param config configuration. @param registry backend servers. @param places placement rules. @param connected returns
+ * whether there is a connection to a server. @param random random source for the order. @param now current time.
  */
 std::vector<std::shared_ptr<backend_server>>
 backends_to_preconnect(serving_config const& config, backend_registry& registry, place_rules const& places,
@@ -100,190 +109,198 @@
 
 // ---- One request ----
 
-/** Lower-case names of the headers that carry a request's context; the adapter of a platform gives them. */
+/** Lower-case names of the headers that carry a request's context, set by the platform adapter. */
 struct header_names {
-    std::string request_id;      ///< Id of one attempt of a caller.
-    std::string deadline;        ///< Milliseconds the sender will wait.
-    std::string target_backend;  ///< Id of the backend server meant.
-    std::string signature;       ///< A backend server's mark on its answer.
+    std::string request_id;      ///< Id of one send of a request by its caller.
+    std::string deadline;        ///< Milliseconds that the sender waits for the response.
+    std::string target_backend;  ///< Id of the backend server that the request is meant for.
+    std::string signature;       ///< A backend server's signature of its response.
     std::string not_executed;    ///< Set by a backend server that did not run the request.
-    std::string warmup_left;     ///< How long a backend server stays cold, in milliseconds.
-    std::string part_signatures; ///< Signatures of the shard answers in a merged answer.
-    std::string missing_parts;   ///< Number of shards left out of a merged answer.
+    std::string warmup_left;     ///< Remaining warm-up time of a backend server in milliseconds.
+    std::string part_signatures; ///< Signatures of the shard responses in a merged response.
+    std::string missing_parts;   ///< Number of shards missing from a merged response.
 };
 
-/** Id of one attempt at a backend server within this process. */
+/** Id of an attempt, unique within this process. */
 using attempt_id = strong_id<struct attempt_id_tag, std::uint64_t>;
 
-/** An attempt to be sent. */
+/** An attempt to send to a backend server. */
 struct outgoing_attempt {
-    attempt_id id;                          ///< For on_result() and cancel.
-    std::shared_ptr<backend_server> target; ///< Where to.
-    std::string head;                       ///< Start line and headers, all but the deadline.
+    attempt_id id;                          ///< Id for on_result() and dispatcher_hooks::cancel.
+    std::shared_ptr<backend_server> target; ///< Backend server to send it to.
+    std::string head;                       ///< Start line and headers, except for the deadline header.
     std::string body;                       ///< Body.
-    time_point caller_deadline;             ///< The caller waits no longer; told to the backend server as time left.
-    std::string request_id;                 ///< The caller's request id, which the answer must carry.
-    bool head_request = false;              ///< A HEAD request, whose response has no body.
-    bool idempotent = true;                 ///< May be sent on a kept connection that could be dead.
+    time_point caller_deadline; ///< Deadline of the caller, sent to the backend server as the remaining time.
+    std::string request_id;     ///< The caller's request id, which the response must repeat.
+    bool head_request = false;  ///< HEAD request, so the response has no body.
+    bool idempotent = true;     ///< May be sent on an idle connection that may have been closed already.
 };
 
 /** Result of an attempt. */
 struct attempt_result {
-    attempt_end outcome = attempt_end::lost; ///< How it ended.
-    http_response response;                  ///< The response when answered or not executed.
-    std::string detail;                      ///< Why it failed, for logs.
+    attempt_end outcome = attempt_end::lost; ///< Outcome.
+    http_response response;                  ///< The response, if the outcome is answered or not_executed.
+    std::string detail;                      ///< Cause of a failure, for logs.
 };
 
-/** What is known of a request's time before it was read, and after it will be answered. */
+/** Time that a request spends outside the dispatcher: before it is read and on the network. */
 struct request_timing {
-    clock::duration max_unread{0}; ///< Longest time that it may have waited unread at this VM.
-    clock::duration round_trip{0}; ///< Time that it and its answer take on the network; 0 when not known.
+    clock::duration max_unread{0}; ///< Upper bound on the time that it was unread at this VM.
+    clock::duration round_trip{0}; ///< Network time of request and response together; 0 if unknown.
 };
 
-/** What became of a request, for logs and metrics. */
+/** Outcome of a request, for logs and metrics. */
 struct request_summary {
     std::string request_id;                ///< The caller's id of the request.
-    std::string route_name;                ///< Route, or empty.
-    config_version version;                ///< Configuration that decided.
-    int status = 0;                        ///< Status answered; 0 when the caller left.
-    char const* reason = "";               ///< Why, in one word.
-    std::size_t shards = 0;                ///< Shards of the request.
-    std::size_t shards_answered = 0;       ///< Shards in the answer.
-    int attempts = 0;                      ///< Attempts sent.
-    int hedges = 0;                        ///< Of these, sent while another was open.
-    int retries = 0;                       ///< Of these, sent after a failure.
-    std::chrono::microseconds duration{0}; ///< From arrival to answer.
-    milliseconds caller_time_spent{0}; ///< Time of its caller that had gone when it was read, or goes with its answer.
-    int failed_attempts = 0;           ///< Attempts that failed.
-    int disconnects = 0;               ///< Of these, ended by the backend server's closing the connection.
-    request_digest digest;             ///< Of the request, once it was looked at: the same for its repetitions.
-    caller_address caller;             ///< Who sent it.
-    bool sequential = false;           ///< It went to one backend server at a time.
-    std::string request_line;          ///< With a digest: method, host and path, as far as a log line takes them.
-    std::string failure_details;       ///< The first of these: backend server and reason.
-    std::string extra_attempts;        ///< The first hedges and retries: why there, and the budget that was left.
-    int hedges_denied = 0;             ///< Hedges that were due and not sent.
-    char const* hedge_denied_reason = ""; ///< Why the last of them was not.
-    double admission_wait_ms = 0;         ///< Wait for half of the shards that admission went by; 0: it was not asked.
-    double admitted_share = 1;            ///< Share of such queries that it let in.
-    double coverable_share = 1;           ///< Share that the shards which decide leave at most.
-    int no_home = 0;                      ///< Choices that failed as no server was left at home,
-    int evacuated = 0;                    ///< as those left were evacuated,
-    int cold = 0;                         ///< as those left were cold and had got enough.
+    std::string route_name;                ///< Route, or empty if none matched.
+    config_version version;                ///< Configuration that it was handled with.
+    int status = 0;                        ///< HTTP status of the response; 0 if the caller disconnected.
+    char const* reason = "";               ///< Reason for the outcome, one word.
+    std::size_t shards = 0;                ///< Number of shards of the request.
+    std::size_t shards_answered = 0;       ///< Number of shards in the response.
+    int attempts = 0;                      ///< Number of attempts.
+    int hedges = 0;                        ///< Number of hedges among the attempts.
+    int retries = 0;                       ///< Number of retries among the attempts.
+    std::chrono::microseconds duration{0}; ///< Time from arrival to response.
+    milliseconds caller_time_spent{0};     ///< Caller's time spent before it was read, and network time.
+    int failed_attempts = 0;               ///< Number of failed attempts.
+    int disconnects = 0;                   ///< Failed attempts for which the backend server closed the connection.
+    request_digest digest;                 ///< Digest of the request, the same for its repetitions; empty until set.
+    caller_address caller;                 ///< Address of the caller.
+    bool sequential = false;               ///< Its attempts were sent one at a time.
+    std::string request_line;              ///< Method, host and path, truncated; set with the digest.
+    std::string failure_details;           ///< Backend server and cause of the first failed attempts.
+    std::string extra_attempts;           ///< Targets of the first hedges and retries, with the inputs of their choice.
+    int hedges_denied = 0;                ///< Number of hedges that were due and not sent.
+    char const* hedge_denied_reason = ""; ///< Reason why the last of these was not sent.
+    double admission_wait_ms = 0;         ///< admission_decision::wait_ms; 0 if admission was not checked.
+    double admitted_share = 1;            ///< Share of such queries that admission control admitted.
+    double coverable_share = 1;           ///< Result of coverable_share(), an upper bound on admitted_share.
+    int no_home = 0;                      ///< Failed choices of a server: none was left in the home regions.
+    int evacuated = 0;                    ///< Failed choices: all remaining servers were evacuated.
+    int cold = 0;                         ///< Failed choices: the remaining servers were at their warm-up limit.
 };
 
-/** Calls of the dispatcher to the outside. */
+/** Callbacks of the dispatcher. */
 struct dispatcher_hooks {
-    std::function<void(outgoing_attempt)> send;              ///< Sends an attempt; its result comes back later.
-    std::function<void(attempt_id)> cancel;                  ///< Gives an attempt up; no result is wanted.
-    std::function<void(request_key, http_response)> respond; ///< Answers a caller.
-    std::function<void(request_summary const&)> on_finished; ///< A request ended.
+    std::function<void(outgoing_attempt)> send;              ///< Sends an attempt; dispatcher::on_result() follows.
+    std::function<void(attempt_id)> cancel;                  ///< Cancels an attempt; a later result is ignored.
+    std::function<void(request_key, http_response)> respond; ///< Sends the response to a caller.
+    std::function<void(request_summary const&)> on_finished; ///< Called when a request has finished.
 };
 
 /** Settings of the dispatcher. */
 struct dispatcher_options {
-    header_names names;            ///< Header names.
-    retry_budget::limits budget;   ///< Bound on extra arrivals.
-    selection_options selection;   ///< Replica choice.
-    double hedge_quantile = 0.92;  ///< A shard slower than this quantile of recent ones is hedged.
-    milliseconds hedge_min{5};     ///< Shortest hedge delay: below it, two answers are the rule.
-    double hedge_goal_share = 0.4; ///< Longest hedge delay, as a share of the route's goal.
-    /** An answer leaves so long before its goal, besides the caller's time that has gone and the time on the network,
-     * to arrive in time: the process waits for its turn on a quarter of a core before it reads and before it writes. */
+    header_names names;           ///< Header names.
+    retry_budget::limits budget;  ///< Limits of the retry budget for extra attempts.
+    selection_options selection;  ///< Replica choice.
+    double hedge_quantile = 0.92; ///< Hedge a shard that is slower than this quantile of recent latencies.
+    /** Minimum hedge delay. With a shorter one most hedges would be in vain, as both attempts would respond. */
+    milliseconds hedge_min{5};
+    double hedge_goal_share = 0.4; ///< Maximum hedge delay, as a share of the route's latency goal.
+    /** A response is sent this long before its latency goal, in addition to the caller's time already spent and the
+     *  network time, so that it arrives in time. It covers scheduling delays before reads and before writes, as the
+     *  process has only a quarter of a core. */
     milliseconds answer_margin{11};
-    /** The same as a share of the goal, whichever is more: the longer the goal, the fewer shards still come in its last
-     *  milliseconds. */
+    /** The same margin as a share of the goal; the larger of the two applies. With a longer goal, fewer shards respond
+     *  in its last milliseconds. */
     double answer_margin_share = 0.05;
-    bool caller_time = true; ///< Answers leave earlier by the caller's time that has gone and that on the network.
-    milliseconds observation_time{300}; ///< A hedged attempt is watched so long, to learn when its server recovers.
-    /** Share of a backend server's connections that all VMs together use. Connections of VMs that lost power stay open
-     *  at the backend server; the rest lets the VMs connect again when they are back. */
+    bool caller_time = true; ///< Send responses earlier by the caller's time already spent and the network time.
+    /** How long an attempt that is no longer needed may run on, to detect when its backend server recovers. */
+    milliseconds observation_time{300};
+    /** Share of a backend server's connections that all VMs use together. The connections of a VM that lost power stay
+     *  open at the backend server; the remaining share lets the VMs reconnect after a restart. */
     double connection_share = 0.6;
-    double retry_after_s = 0.3;       ///< Told to callers that were refused, at least; spread up to twice it.
-    double overload_retry_min = 0.08; ///< Callers refused for load come back after this share of their time,
-    double overload_retry_max = 0.3;  ///< at the latest after this one; they wait a third of it at most.
-    bool admission = true;            ///< Bound the open requests.
-    bool by_priority = true;          ///< Urgent queries are let in first.
-    bool retries_last = true;         ///< Callers that come again are let in last.
-    bool hedging = true;              ///< Slow shards get a second attempt.
-    bool hedge_pause = true;          ///< One that comes up late waits until arrived answers are read.
-    bool hedge_check = true;          ///< While queries queue, it goes only where it gains.
-    bool early_answer = true;         ///< Answers leave before the goal with what is there.
-    bool by_coverage = true;          ///< Admission goes by the shards that decide too, see coverable_share().
+    /** Minimum Retry-After of rejected requests. The value is random between it and twice it. */
+    double retry_after_s = 0.3;
+    double overload_retry_min = 0.08; ///< Minimum Retry-After after overload, as a share of the caller's time left.
+    double overload_retry_max = 0.3;  ///< Its maximum; a caller waits at most a third of its time for a retry.
+    bool admission = true;            ///< Reject queries by the measured wait.
+    bool by_priority = true;          ///< Admit queries of the highest priority first.
+    bool retries_last = true;         ///< Admit retries of callers last.
+    bool hedging = true;              ///< Hedge slow shards.
+    bool hedge_pause = true;  ///< Postpone a hedge that is due late until the responses received meanwhile are read.
+    bool hedge_check = true;  ///< While congested, hedge only to backend servers that are expected to be faster.
+    bool early_answer = true; ///< Send a response with the shards received so far in time for the goal.
+    bool by_coverage = true;  ///< Limit admission by coverable_share() too.
 };
 
-/** A mechanism that can be switched off, to measure what it is worth. */
+/** A mechanism that can be disabled to measure its effect. */
 struct feature_toggle {
-    std::string name;                                 ///< Name in settings.
-    std::string help;                                 ///< What it does.
-    std::function<void(dispatcher_options&)> disable; ///< Switches it off.
+    std::string name;                                 ///< Name in the settings.
+    std::string help;                                 ///< Description.
+    std::function<void(dispatcher_options&)> disable; ///< Disables it.
 };
-/** @return all of them. */
+/** @return all mechanisms that can be disabled. */
 std::vector<feature_toggle> const& feature_toggles();
-/** @return their names and what they do, for a setting's help. */
+/** @return names and descriptions of these mechanisms, for the help text of the setting. */
 std::string feature_toggles_help();
-/** Switches one off. @param options where. @param mechanism its name. @throw error bad_settings when there is none. */
+/** Disables a mechanism. @param options options to change. @param mechanism its name. @throw error bad_settings if
+ *  there is none of that name. */
 void disable_feature(dispatcher_options& options, std::string const& mechanism);
 
-/** Recent times of one kind. */
+/** Window of recent durations, from which a quantile is computed. */
 class duration_window {
 public:
     /** Sizes of a window. */
     struct sizes {
-        std::size_t capacity = 1024;     ///< Observations kept.
-        std::size_t min_samples = 32;    ///< Observations needed before a quantile is given.
-        std::size_t refresh_after = 128; ///< A quantile is computed anew after so many observations.
+        std::size_t capacity = 1024;     ///< Number of samples kept.
+        std::size_t min_samples = 32;    ///< Number of samples needed for a quantile.
+        std::size_t refresh_after = 128; ///< The quantile is computed again after this many samples.
     };
-    /** A window of the usual sizes, for latencies. */
+    /** Creates a window of the default sizes, for latencies. */
     duration_window() = default;
-    /** @param of sizes. */
+    /** Creates a window. @param of sizes. */
     explicit duration_window(sizes of) : m_sizes(of) {}
-    /** Adds one observation. @param time observed time. */
+    /** Adds a sample. @param time duration. */
     void add(std::chrono::microseconds time);
-    /** @return observations in the window. */
+    /** @return the number of samples in the window. */
     std::size_t count() const { return m_samples.size(); }
-    /** @return the @p quantile of the window, or nothing before enough samples. @param quantile 0 to 1. */
+    /** @return the @p quantile of the window, or nothing if there are too few samples. @param quantile 0 to 1. */
     std::optional<std::chrono::microseconds> quantile(double quantile);
 
 private:
     sizes m_sizes;                                     ///< Sizes.
-    std::vector<std::chrono::microseconds> m_samples;  ///< Ring of samples.
-    std::size_t m_next = 0;                            ///< Next place in the ring.
+    std::vector<std::chrono::microseconds> m_samples;  ///< Ring buffer of samples.
+    std::size_t m_next = 0;                            ///< Index of the oldest sample once the ring buffer is full.
     std::size_t m_since_sort = 0;                      ///< Samples added since m_cached was computed.
-    std::optional<std::chrono::microseconds> m_cached; ///< Last quantile computed.
+    std::optional<std::chrono::microseconds> m_cached; ///< Quantile as last computed.
 };
 
 /**
- * Carries requests: chooses their route and backend servers, sends, hedges and retries within the budget, merges the
- * answers of shards, and answers each caller exactly once. The hooks must not call back into it.
+ * Processes requests: chooses their route and backend servers, sends attempts, hedges and retries within the retry
+ * budget, merges the responses of shards, and sends each caller exactly one response. The hooks must not call back into
+ * the dispatcher.
  */
 class dispatcher {
 public:
     /** @param options settings. @param configs configuration in force. @param registry backend servers.
-     *  @param places which of them a request may reach. @param quarantine requests that crash them. @param hooks
-     * outside calls. @param seed random seed. */
+     *  @param places placement rules. @param quarantine requests that crash backend servers. @param hooks callbacks.
+     *  @param seed random seed. */
     dispatcher(dispatcher_options options, config_holder const& configs, backend_registry& registry,
                place_rules const& places, request_quarantine& quarantine, dispatcher_hooks hooks, std::uint64_t seed);
     ~dispatcher();
-    /** Takes in a whole request. @param key new key for it. @param message as received. @param timing its time before
-     *  and after. @param caller who sent it. @param now present time. */
+    /** Handles a complete request. @param key unused key for it. @param message as received. @param timing its time
+     *  outside the dispatcher. @param caller address of the caller. @param now current time. */
     void start(request_key key, http_request message, request_timing timing, caller_address caller, time_point now);
-    /** The caller has left: gives up all work for it. @param key request. @param now present time. */
+    /** The caller has disconnected. Cancels all attempts of its request. @param key request.
+     *  @param now current time. */
     void on_caller_disconnected(request_key key, time_point now);
-    /** Takes in the result of an attempt. @param id attempt. @param result result. @param now present time. */
+    /** Handles the result of an attempt. @param id attempt. @param result result. @param now current time. */
     void on_result(attempt_id id, attempt_result result, time_point now);
-    /** Does what is due. @param now present time. */
+    /** Runs all timers that are due. @param now current time. */
     void on_timer(time_point now);
-    /** @return when on_timer() has something to do next. */
+    /** @return when on_timer() must be called next, or nothing if no timer is set. */
     std::optional<time_point> next_due() const;
-    /** @return requests not yet answered. */
+    /** @return the number of requests without a response. */
     std::size_t open_requests() const;
-    /** Sets how many VMs share budgets and connections. @param vms at least 1. */
+    /** Sets the number of VMs that share retry budgets and connections. @param vms at least 1. */
     void set_vm_count(std::size_t vms);
-    /** Ends every open request at once: not run where that is certain. @param now present time. */
+    /** Finishes every open request now. Callers whose request certainly has not run are informed of that.
+     *  @param now current time. */
     void finish_all(time_point now);
 
-    /** Opaque state, defined in the source file. */
+    /** Private state, defined in the source files. */
     struct impl;
 
 private:
--- a/src/dispatch/admission_control.cpp
+++ b/src/dispatch/admission_control.cpp
@@ -1,4 +1,4 @@
-/** @file admission_control.cpp Which share of the queries over one set of shards is let in, by how long they wait. */
+/** @file admission_control.cpp Load shedding by the measured wait of the queries over one set of shards. */
 #include <cornelspring/dispatch.hpp>
 
 #include <algorithm>
@@ -7,37 +7,39 @@
 namespace cornelspring {
 namespace {
 
-/** Strain up to which every query is let in: below it, ordinary load and pauses refuse nobody. */
+/** Up to this strain every query is admitted, so that ordinary load and short pauses do not cause rejections. */
 constexpr double free_strain = 0.3;
-/** Strain at which next to none is let in. */
+/** At this strain and above, only the minimum share is admitted. */
 constexpr double full_strain = 0.9;
-/** Strain above which a second attempt at a slow shard only adds to the queue that makes it slow; well
- * above what pauses cause on calm days, when second attempts pay. */
+/** Above this strain a hedge mostly adds to the queue that makes its shard slow. The value is well above the strain
+ * that short pauses cause under ordinary load, when hedges help. */
 constexpr double congested_strain = 0.25;
-/** Least share let in: without answers, the wait would never be seen to end. */
+/** Minimum admitted share. Without any responses, the end of an overload would not be detected. */
 constexpr double least_share = 0.05;
-/** Without samples the wait is taken to halve in this time at least, as the queues empty, */
+/** Minimum half-life of the wait while there are no samples: the queues are assumed to drain. */
 constexpr double shortest_half_life_ms = 300;
-/** and in the time of so many queries: a VM that sees few must not forget the queue between two of them. */
+/** The half-life is at least the average time between this many queries, so that a VM with few queries does not discard
+ *  the measured wait between two of them. */
 constexpr double half_life_queries = 8;
-/** Weight of a new gap between queries in the average gap. */
+/** Weight of a new sample in the average time between queries. */
 constexpr double gap_weight = 0.1;
-/** Longest gap that counts, so that an idle night is forgotten within some queries. */
+/** Upper limit of such a sample, so that the average recovers from a long idle period within a few queries. */
 constexpr double longest_gap_ms = 1000;
-/** Waits are averaged over about one goal, so that one slow query refuses nobody; a single one after a pause does not
- * decide alone, which matters most at a VM that sees few queries. */
+/** Waits are averaged over about one latency goal, so that one slow query does not cause rejections. The weight of a
+ *  sample after an idle period is limited, so that it does not decide alone, mostly at a VM with few queries. */
 constexpr sample_weight wait_weight{milliseconds(300), 0.1, 0.3};
-/** Part of the goal that the usual wait may take at most; more than that is a queue that has always been there. */
+/** Upper limit of the usual wait as a share of the goal. If it is longer, there has always been a queue. */
 constexpr double most_usual_share = 0.35;
-/** How fast the usual wait follows a longer one, for each sample: over some hundred seconds of ordinary load. */
+/** How fast the usual wait follows a longer one, for each sample: within some hundred seconds of ordinary load. */
 constexpr double usual_rise = 0.001;
-/** Power of the urgent queries' share that less urgent ones keep: they give way first, but are never shut out. */
+/** Queries of lower priority are admitted at least at the share of the highest priority raised to this power. They are
+ *  shed first, but some of them are always admitted. */
 constexpr double lower_rank_power = 2;
 /**
- * Power of the share that returning callers get. Each of them takes the place of one that is still in time, so that
- * under lasting overload letting them in first makes everybody late. A higher power refuses too many of them for good
- * on days that are heavy but can be carried.
- * When the share is near one nearly all of them are let in.
+ * Retries of callers are admitted at the share raised to this power. Each of them uses capacity that a query with more
+ * time left could use, so that under lasting overload admitting them first makes all responses late. With a higher
+ * power, too many of them are never served under load that is high but within capacity. If the share is near 1, nearly
+ * all of them are admitted.
  */
 constexpr double returning_power = 2;
 
@@ -52,7 +54,7 @@
     double const quiet = ms_of(now - m_sampled_at);
     double const half_life = std::max(shortest_half_life_ms, half_life_queries * m_gap_ms);
     if (quiet > half_life) wait *= std::exp2(1 - quiet / half_life);
-    // The oldest query that still waits tells of a queue before any that waits as long has ended.
+    // The oldest pending query shows a growing queue earlier than the finished ones.
     if (!m_waiting.empty()) wait = std::max(wait, ms_of(now - *m_waiting.begin()));
     return wait;
 }
--- a/src/dispatch/coverable_share.cpp
+++ b/src/dispatch/coverable_share.cpp
@@ -1,4 +1,4 @@
-/** @file coverable_share.cpp Which share of the queries the shards that decide can answer. */
+/** @file coverable_share.cpp Estimate of the share of queries that can reach their minimum coverage. */
 #include <cornelspring/dispatch.hpp>
 
 #include <algorithm>
@@ -6,10 +6,10 @@
 namespace cornelspring {
 namespace {
 
-/** Shards that answer this share of the queries or more refuse none: one failure that is two seconds old, or that was
- *  followed by an answer, says nothing of load. */
+/** If the shards respond to at least this share of the requests, no query is rejected: a single failure that is two
+ *  seconds old, or that a response followed, does not indicate overload. */
 constexpr double full_share = 0.8;
-/** Least share let in, so that a shard that is well again is noticed. */
+/** Minimum admitted share, so that the recovery of a shard is detected. */
 constexpr double least_share = 0.1;
 
 } // namespace
@@ -17,7 +17,7 @@
 double coverable_share(std::vector<double> answered_shares, std::size_t needed)
 {
     if (answered_shares.empty() || needed == 0) return 1;
-    // The worst shards may be left out; of the others, the one that answers least often decides.
+    // A query may leave out the worst shards. Of the others, the one that responds least often limits the share.
     auto const spare = answered_shares.size() - std::min(needed, answered_shares.size());
     auto const deciding = answered_shares.begin() + static_cast<std::ptrdiff_t>(spare);
     std::nth_element(answered_shares.begin(), deciding, answered_shares.end());
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -1,4 +1,4 @@
-/** @file dispatcher.cpp Answers, time, and the public interface of the dispatcher. */
+/** @file dispatcher.cpp Responses, timers, and the public interface of the dispatcher. */
 #include "dispatcher_impl.hpp"
 
 #include <algorithm>
@@ -6,7 +6,7 @@
 namespace cornelspring {
 namespace {
 
-/** @return whether @p status promises a caller that its request has not run and never will. */
+/** @return whether @p status tells a caller that its request has not run and will not. */
 bool promises_not_run(int status) { return status == 503 || status == 429 || status == 408 || status == 421; }
 
 } // namespace
@@ -32,7 +32,7 @@
     if (!request.gathers()) {
         if (request.done == 1) {
             auto answer = std::move(*request.shards[0].answer);
-            // A non-idempotent request that ran must not get a status that promises it did not.
+            // A non-idempotent request that ran must not get a status that says that it did not run.
             bool const promises = promises_not_run(answer.status);
             bool const unsigned_success = answer.status / 100 == 2 && answer.header(options.names.signature).empty();
             if (promises || unsigned_success) answer = own_answer(502, "the backend server failed");
@@ -114,7 +114,7 @@
     hooks.on_finished(summary);
 }
 
-// ---- Time ----
+// ---- Timers ----
 
 void dispatcher::impl::arm(request_state& request, time_point when)
 {
--- a/src/dispatch/dispatcher_arrival.cpp
+++ b/src/dispatch/dispatcher_arrival.cpp
@@ -1,4 +1,4 @@
-/** @file dispatcher_arrival.cpp A request arrives: route, deadline, shards, admission. */
+/** @file dispatcher_arrival.cpp Handling of new requests: route, deadline, shards, admission. */
 #include "dispatcher_impl.hpp"
 
 #include <algorithm>
@@ -9,26 +9,28 @@
 namespace {
 
 /**
- * Seconds a caller waits at least before it asks a VM again that knows no configuration yet. A process that starts
- * knows it within that time, and callers with one try left and less than a second must not come back too late for it.
+ * Minimum Retry-After in seconds while there is no configuration. A starting process usually receives it within this
+ * time, and callers with one retry left and less than a second must not retry too late.
  */
 constexpr double starting_retry_after_s = 0.1;
 
-/** Longest of these times, in seconds: callers that wait for 10 s come back in the second in which the configuration is
- *  there again. */
+/** Upper limit of this minimum, in seconds, so that callers with a time-out of 10 s retry within a second after the
+ *  configuration has become available again. */
 constexpr double starting_retry_after_most_s = 1.0;
 
-/** Window of the times that callers of a route still wait; it answers from the first one on, and anew for each: a VM
- * that sees one query a second must not believe its first caller for many seconds. */
+/** Window of recent deadlines in the requests of a route. It gives a quantile from the first sample on and recomputes
+ *  it for each sample. Otherwise a VM with one query per second would use its first caller's value for many seconds. */
 constexpr duration_window::sizes deadline_window{256, 1, 1};
-/** So many requests show how long callers of a route wait; of fewer the longest counts, and the route's own timeout, */
+/** Minimum number of requests to estimate the total time that callers of a route wait. With fewer, the longest deadline
+ *  counts, or the route's timeout if it is only a little longer. */
 constexpr std::size_t deadline_samples = 32;
-/** where it is longer by less than this share of the goal: callers that have looked up an address are that close. */
+/** The route's timeout counts if it is longer by less than this share of the goal, which is about the time that callers
+ *  spend on looking up an address. */
 constexpr double configured_near_share = 0.5;
-/** Quantile of these that counts as the time that callers wait at first. Most requests
- *  have all of it left; fewer than one in twenty that wait longer than the rest do not count. */
+/** Quantile of the recent deadlines that is used as the total time that callers wait. Most requests have all of it
+ *  left. Callers with a longer deadline do not count if they send fewer than one in twenty requests. */
 constexpr double full_deadline_quantile = 0.95;
-/** A caller has been here before when more than this share of its time has gone. */
+/** A request counts as a caller's retry if more than this share of the caller's time is spent. */
 constexpr double returning_share = 0.03;
 
 } // namespace
@@ -104,8 +106,8 @@
     check_finish(request, now);
 }
 
-/** What lasts for some time already is taken to last as long again: after a power cut the store may be away for
- *  seconds, and callers have one more try. */
+/** The state without a configuration is expected to last as long again as it has lasted so far. After a power cut the
+ *  store may be unreachable for seconds, and callers have only one retry left. */
 double dispatcher::impl::starting_wait_s(time_point now)
 {
     if (!unconfigured_since) unconfigured_since = now;
@@ -114,9 +116,9 @@
 }
 
 /**
- * What the request may have waited unread is taken off its deadline, which backend servers are told, and not off its
- * goal: it is a bound, and a long one on a small VM in the middle of another query's work. Answers that left so much
- * earlier would lack shards for nothing.
+ * The time that the request may have been unread is subtracted from its deadline, which is sent to the backend servers,
+ * but not from its goal. It is only an upper bound, and a high one on a small VM that is busy with another query.
+ * Responses sent that much earlier would lack shards without need.
  */
 bool dispatcher::impl::set_deadline(request_state& request, request_timing timing)
 {
@@ -130,7 +132,7 @@
     }
     request.deadline = request.arrived - timing.max_unread + left - deadline_margin;
     auto spent = options.caller_time ? request.gone + timing.round_trip : clock::duration(0);
-    // What is late already has no goal to keep, or its caller simply waits for less time than others.
+    // The goal cannot be met any more, or the caller only has a shorter time-out than others.
     clock::duration const fixed = options.answer_margin;
     auto const of_goal = std::chrono::duration_cast<clock::duration>(options.answer_margin_share * request.via->goal);
     auto const margin = std::max(fixed, of_goal);
@@ -141,11 +143,12 @@
 }
 
 /**
- * Callers of one route wait equally long, and a request says how long its caller still waits. What is missing to the
- * usual longest time has gone: the caller looked up an address, which takes several round trips, connected, or tried
- * before. It counts for the goal too: with one margin for all, the answers to callers that had looked up an address
- * come late. A few callers that wait longer than the rest change nothing. In the first seconds all callers have looked
- * up an address, so that none shows its whole time; operators set a route's timeout to what its callers wait.
+ * Callers of one route have the same time-out, and the deadline in a request is what remains of it. The difference to
+ * the usual longest deadline is time that the caller has spent already: it looked up an address, which takes several
+ * round trips, connected, or tried before. This time counts towards the latency goal too. With the same margin for all
+ * requests, responses to callers that had looked up an address would be late. A few callers with a longer time-out than
+ * the others do not change the result. In the first seconds all callers have just looked up an address, so no request
+ * shows the full time-out; therefore the route's timeout is used, which operators set to the time-out of its callers.
  */
 milliseconds dispatcher::impl::full_deadline(request_state const& request, milliseconds asked)
 {
@@ -160,7 +163,7 @@
     return near ? std::max(configured, seen) : seen;
 }
 
-/** Smooth weighted round robin: shares follow the weights exactly, also over few requests. */
+/** Smooth weighted round robin: the shares match the weights exactly, even over few requests. */
 service_name const& dispatcher::impl::choose_part(route const& via)
 {
     auto& credit = split_credit[via.name];
@@ -195,7 +198,7 @@
         for (auto const& service : gather.shards)
             add(service);
         auto const count = static_cast<double>(gather.shards.size());
-        // The small term keeps rounding from asking for one shard more than the share names.
+        // The small term avoids that rounding errors add one shard.
         request.needed =
             std::max<std::size_t>(1, static_cast<std::size_t>(std::ceil(gather.min_coverage * count - 1e-9)));
     }
@@ -230,10 +233,10 @@
 }
 
 /**
- * Admission: a request that would wait for room beyond its goal at more shards than it can spare is refused on
- * arrival, so that callers come back later in place of queueing past their deadlines.
- * A shard without any backend server to send to counts as blocked too.
- * @return the expected wait in seconds when it is to be refused, else 0.
+ * A request is rejected on arrival if it would wait for a free connection beyond its goal at more shards than it may
+ * leave out, so that callers retry later instead of queueing past their deadlines. A shard without any backend server
+ * to send to counts as blocked too.
+ * @return the expected wait in seconds if the request must be rejected, else 0.
  */
 double dispatcher::impl::blocked_wait_s(request_state& request, time_point now) const
 {
@@ -265,7 +268,7 @@
     return coverable_share(std::move(answered_shares), request.needed);
 }
 
-/** Asks for admission among the queries over the same shards. */
+/** Checks admission among the queries over the same shards. */
 bool dispatcher::impl::admitted(request_state& request, time_point now)
 {
     if (!request.gathers()) return true;
@@ -293,7 +296,7 @@
     request.admission = nullptr;
 }
 
-/** Refuses a request for load; callers come back spread evenly over the time in which they can. */
+/** The Retry-After is random, so that the retries spread evenly over the time in which callers can retry. */
 http_response dispatcher::impl::return_later(request_state const& request)
 {
     auto const left_s = std::chrono::duration<double>(request.deadline - request.arrived).count();
--- a/src/dispatch/dispatcher_attempts.cpp
+++ b/src/dispatch/dispatcher_attempts.cpp
@@ -1,4 +1,4 @@
-/** @file dispatcher_attempts.cpp Attempts at backend servers: sending, hedging, retrying, results. */
+/** @file dispatcher_attempts.cpp Attempts: sending, hedges, retries and results. */
 #include "dispatcher_impl.hpp"
 
 #include <algorithm>
@@ -7,23 +7,23 @@
 namespace cornelspring {
 namespace {
 
-/** Attempts of one shard beyond the route's limit, for those that certainly did not run. */
+/** Additional attempts of one shard beyond the route's limit, in place of attempts that certainly did not run. */
 constexpr int extra_sends = 3;
-/** Wait before a backend server that refused is tried again; about the time in which a slot frees. */
+/** Delay before backend servers that rejected a request are tried again; about the time until a slot becomes free. */
 constexpr milliseconds refused_backoff{15};
-/** An attempt this many times slower than usual marks its backend server as stalled. */
+/** An attempt that takes this many times the usual latency marks its backend server as stalled. */
 constexpr double stall_factor = 2.0;
-/** Weight of a sample in a service's usual latency. */
+/** Weight of a sample in the moving average of a service's latency. */
 constexpr double usual_latency_weight = 0.05;
-/** While queries queue, a second attempt must be expected to take at most this share of what the first one ran. */
+/** While congested, the expected wait of a hedge must be below this share of the time since the first attempt. */
 constexpr double queued_hedge_gain = 0.8;
-/** A second attempt that comes up later than this finds the process behind with its work. */
+/** A hedge that is handled later than this after it was due shows that the process is behind with its work. */
 constexpr milliseconds hedge_lateness{5};
-/** Time in which the event loop reads what has arrived. */
+/** Time in which the event loop reads the responses received so far. */
 constexpr milliseconds read_pass{1};
-/** Hedges and retries described in a summary. */
+/** Maximum number of hedges and retries described in a summary. */
 constexpr int extras_named = 4;
-/** Failed attempts named in a summary. */
+/** Maximum number of failed attempts described in a summary. */
 constexpr int failures_named = 4;
 
 } // namespace
@@ -52,7 +52,7 @@
         if (reason != attempt_reason::hedge) note_miss(request.summary, chosen.miss);
         return chosen.miss;
     }
-    // A hedge at a server that may be stalled too would only add load.
+    // A hedge to a backend server that may be stalled too would only add load.
     if (reason == attempt_reason::hedge && (chosen.suspect || !hedge_gains(request, shard, chosen, now))) {
         return selection_miss::no_gain;
     }
@@ -169,8 +169,8 @@
 }
 
 /**
- * While queries queue, a second attempt makes others late; it is sent only when the other backend server is much
- * faster, so that it helps where one is slow, and not where all are.
+ * While congested, a hedge delays other queries. It is sent only if the other backend server is expected to be much
+ * faster, that is, if one server is slow and not all of them.
  */
 bool dispatcher::impl::hedge_gains(request_state const& request, shard_state const& shard, selection const& other,
                                    time_point now) const
@@ -183,8 +183,8 @@
 }
 
 /**
- * A process that is behind has answers that it has not read yet, and timers come first. A small VM
- * would ask every shard of a query twice so, which puts it further behind.
+ * A process that is behind with its work has received responses that it has not read yet, because the event loop
+ * handles timers first. Without the delay, a small VM would hedge every shard of a query, which delays it even more.
  */
 bool dispatcher::impl::postpone_hedge(shard_state& shard, time_point now) const
 {
@@ -233,7 +233,7 @@
         shard_failed(request, index, now);
         return;
     }
-    shard.tried.clear(); // Every replica was tried: after a short wait, any may be tried again.
+    shard.tried.clear(); // Every replica was tried: after a short delay, any of them may be tried again.
     shard.retry_at = now + refused_backoff;
 }
 
@@ -326,7 +326,7 @@
     }
     auto const others = std::move(shard.open);
     shard.open.clear();
-    bool const observe = !queued(request, now); // While queries queue, an answer of no use only takes a slot.
+    bool const observe = !queued(request, now); // While congested, an attempt that is not needed only uses a slot.
     for (auto const id : others)
         release(id, observe, now);
     check_finish(request, now);
@@ -344,8 +344,8 @@
 }
 
 /**
- * Lets go of an attempt whose answer is not needed. When it is the only one at its backend server, it may run on for a
- * while: its answer is the sign that a pause is over. Else it is cancelled, which frees its slot.
+ * If the attempt is the only one in flight at its backend server, it may run on for a while, because its response shows
+ * that a pause of the server is over. Otherwise it is cancelled, which frees its slot.
  */
 void dispatcher::impl::release(attempt_id id, bool may_observe, time_point now)
 {
--- a/src/dispatch/dispatcher_caution.cpp
+++ b/src/dispatch/dispatcher_caution.cpp
@@ -1,4 +1,4 @@
-/** @file dispatcher_caution.cpp Requests that may crash the backend servers that run them: one server at a time. */
+/** @file dispatcher_caution.cpp Handling of requests that may crash backend servers: attempts one at a time. */
 #include "dispatcher_impl.hpp"
 
 #include <algorithm>
@@ -6,15 +6,15 @@
 namespace cornelspring {
 namespace {
 
-/** Servers that end under a request, none having answered it, from which on what is under way is given up. */
+/** Number of closed connections, without any usable response, at which the attempts in flight are cancelled. */
 constexpr int losses_to_give_up = 2;
-/** Characters of a request's method, host and path in the log. */
+/** Maximum length of a request's method, host and path in the log. */
 constexpr std::size_t logged_line_length = 120;
 
-/** @return whether a shard still needs an answer. */
+/** @return whether a shard still needs a response. */
 bool wanted(shard_state const& shard) { return !shard.done && !shard.failed; }
 
-/** @return whether something of a shard is under way, or will be by itself. */
+/** @return whether an attempt of a shard is in flight, queued or scheduled. */
 bool under_way(shard_state const& shard)
 {
     return wanted(shard) && (!shard.open.empty() || shard.waiting || shard.retry_at != time_point::max());
@@ -73,9 +73,9 @@
 }
 
 /**
- * The first loss of a request that nobody has answered yet is no reason to ask a second server of the shard: the shards
- * that are under way tell within milliseconds whether the request or the server is to blame. From the second loss on,
- * what is under way is given up, and one server at a time is asked.
+ * If no backend server has sent a usable response yet, the first closed connection does not lead to a retry at another
+ * replica of the shard: the other shards in flight show within milliseconds whether the request or the server caused
+ * it. From the second closed connection on, the attempts in flight are cancelled and attempts are sent one at a time.
  */
 bool dispatcher::impl::on_disconnect(request_state& request, time_point now)
 {
@@ -100,12 +100,12 @@
 void dispatcher::impl::become_cautious(request_state& request)
 {
     request.cautious = request.summary.sequential = true;
-    leave_admission(request); // The time until it is answered says nothing about a queue from now on.
+    leave_admission(request); // From now on its response time is no measure of the queues.
     for (auto& shard : request.shards)
         shard.hedge_at = time_point::max();
 }
 
-/** Most servers drop what nobody waits for, and so outlive a request that would crash them. */
+/** Most backend servers drop cancelled requests, so that they survive a request that would crash them. */
 void dispatcher::impl::hold_all(request_state& request, time_point now)
 {
     std::vector<attempt_id> given_up;
@@ -137,7 +137,7 @@
     auto const is_open = [this, key] { return open.contains(key); };
     if (!is_open()) return;
     auto const count = request.shards.size();
-    // Another shard each time, so that a request that comes again and again does not strike the same servers.
+    // Starts at a random shard, so that a repeated request does not crash the same backend servers each time.
     auto const from = random() % count;
     for (std::size_t i = 0; i < count && is_open(); ++i) {
         if (waits_for_others(request)) return;
@@ -177,8 +177,8 @@
 }
 
 /**
- * A trial that ends without an answer convicts too, when enough servers have ended under the request before: otherwise
- * a caller that always leaves early could bring it to a server each time.
+ * A trial that finishes without a usable response leads to quarantine too, if the request has crashed enough backend
+ * servers before. Otherwise a caller that always disconnects early could get it sent to another server each time.
  */
 void dispatcher::impl::draw_conclusions(request_state& request, time_point now)
 {
@@ -186,7 +186,7 @@
     if (request.on_trial) quarantine.end_trial(summary.digest);
     if (request.survived) {
         answered.add(request.message, now);
-        // Others may suspect by now what had begun before.
+        // Peer gateways may have started to suspect the request while it was in flight.
         if (!quarantine.empty()) quarantine.on_answered(digest_of(request.message), now);
     }
     bool const nothing_seen = summary.disconnects == 0 && !request.on_trial;
--- a/src/dispatch/dispatcher_impl.hpp
+++ b/src/dispatch/dispatcher_impl.hpp
@@ -5,36 +5,36 @@
 
 namespace cornelspring {
 
-/** Time the final answer needs to reach the caller before its deadline. */
+/** Time that the final response needs to reach the caller before its deadline. */
 inline constexpr milliseconds deadline_margin{25};
 
-/** @return @p text as a number of milliseconds, when it is one. @param text text. */
+/** @return the milliseconds that @p text gives as a decimal number, or nothing if it is none. @param text text. */
 std::optional<milliseconds> parse_ms(std::string const& text);
-/** @return a response of this VM's own. @param status status. @param text one line for people. */
+/** @return a response made by this gateway. @param status HTTP status. @param text one line of text for its body. */
 http_response own_answer(int status, std::string const& text);
 
 /** State of the dispatcher. */
 struct dispatcher::impl {
-    dispatcher_options options;                                             ///< Settings.
-    config_holder const& configs;                                           ///< Configuration in force.
-    backend_registry& registry;                                             ///< Backend servers.
-    place_rules const& places;                                              ///< Which of them a request may reach.
-    recent_answers answered;                                                ///< Requests that do not crash servers.
-    request_quarantine& quarantine;                                         ///< Requests that crash them.
-    dispatcher_hooks hooks;                                                 ///< Outside calls.
-    std::mt19937_64 random;                                                 ///< Tie breaks and jitter.
-    std::size_t vms = 1;                                                    ///< VMs that share budgets.
-    std::optional<time_point> unconfigured_since;                           ///< First request without a configuration.
-    std::uint64_t last_attempt = 0;                                         ///< Last attempt id.
-    std::unordered_map<std::uint64_t, std::unique_ptr<request_state>> open; ///< By key.
-    std::unordered_map<std::uint64_t, open_attempt> attempts;               ///< By id.
-    std::set<std::pair<time_point, std::uint64_t>> due;                     ///< Requests by time.
-    std::deque<std::pair<time_point, attempt_id>> observed;  ///< Observed attempts by end of observation.
-    std::map<std::string, admission_control> admissions;     ///< By the first service of a gather.
-    std::map<std::string, duration_window> deadlines;        ///< Recent times that callers of a route still waited.
-    std::map<std::string, route_latencies> latencies;        ///< By route name.
+    dispatcher_options options;                   ///< Settings.
+    config_holder const& configs;                 ///< Configuration in force.
+    backend_registry& registry;                   ///< Backend servers.
+    place_rules const& places;                    ///< Placement rules.
+    recent_answers answered;                      ///< Requests known not to crash backend servers.
+    request_quarantine& quarantine;               ///< Requests that crash backend servers.
+    dispatcher_hooks hooks;                       ///< Callbacks.
+    std::mt19937_64 random;                       ///< Tie breaks and jitter.
+    std::size_t vms = 1;                          ///< Number of VMs that share retry budgets and connections.
+    std::optional<time_point> unconfigured_since; ///< Time of the first request without a configuration.
+    std::uint64_t last_attempt = 0;               ///< Last attempt id used.
+    std::unordered_map<std::uint64_t, std::unique_ptr<request_state>> open; ///< Open requests by key.
+    std::unordered_map<std::uint64_t, open_attempt> attempts;               ///< Attempts in flight by id.
+    std::set<std::pair<time_point, std::uint64_t>> due;                     ///< Timers of requests, by time.
+    std::deque<std::pair<time_point, attempt_id>> observed;  ///< Attempts that run on for measurement, by cancel time.
+    std::map<std::string, admission_control> admissions;     ///< Admission control by the first shard of a gather.
+    std::map<std::string, duration_window> deadlines;        ///< Recent deadlines in callers' requests, by route name.
+    std::map<std::string, route_latencies> latencies;        ///< Recent shard latencies by route name.
     std::map<std::string, std::vector<double>> split_credit; ///< Weighted round robin, by route name.
-    /** Requests that ended during the present outside call; functions further up may still refer to them. */
+    /** Requests that finished during the current public call. Callers up the stack may still refer to them. */
     std::vector<std::unique_ptr<request_state>> ended;
 
     impl(dispatcher_options o, config_holder const& c, backend_registry& r, place_rules const& p, request_quarantine& q,
@@ -43,14 +43,14 @@
     {
     }
 
-    /** @return a Retry-After value of at least @p least seconds, spread over as much again. */
+    /** @return a random Retry-After value between @p least and twice @p least seconds. */
     std::string retry_after(double least)
     {
         double const spread = std::uniform_real_distribution<double>(least, 2 * least)(random);
         return std::to_string(std::round(spread * 1000) / 1000);
     }
 
-    /** @return the refusal of a request that has not run. */
+    /** @return the response that rejects a request that has not run. */
     http_response refusal(std::string const& text, double least_s)
     {
         auto response = own_answer(503, text);
@@ -58,7 +58,7 @@
         return response;
     }
 
-    /** Answers a request that never became open. */
+    /** Sends the response to a request that is not processed any further. */
     void answer_at_once(request_key key, request_summary summary, http_response response, char const* reason)
     {
         summary.status = response.status;
@@ -67,130 +67,132 @@
         hooks.on_finished(summary);
     }
 
-    /** Takes in a request: route, deadline, shards, admission, first attempts. */
+    /** Handles a request: finds its route, sets deadline and shards, checks admission, sends the first attempts. */
     void start(request_key key, http_request message, request_timing timing, caller_address caller, time_point now);
-    /** @return seconds after which callers come back at least while no configuration is known. */
+    /** @return the minimum Retry-After in seconds while there is no configuration. */
     double starting_wait_s(time_point now);
-    /** @return the service of a split route for the next request. */
+    /** @return the service of a traffic split that the next request goes to. */
     service_name const& choose_part(route const& via);
-    /** Sets deadline and answer time. @return whether enough time is left to begin. */
+    /** Sets the deadline and the time of the response. @return whether enough time is left to start. */
     bool set_deadline(request_state& request, request_timing timing);
-    /** Makes the shards of a request and counts it for their budgets. */
+    /** Creates the shards of a request and counts it for their retry budgets. */
     void add_shards(request_state& request, time_point now);
-    /** @return start line and forwarded headers of every attempt of the request. */
+    /** @return the start line and the forwarded headers, which are the same for all attempts. */
     std::string head_bytes(request_state const& request) const;
-    /** @return the wait in seconds when too few shards have room, else 0. */
+    /** @return the expected wait in seconds if too few shards have a free connection, else 0. */
     double blocked_wait_s(request_state& request, time_point now) const;
-    /** @return what a choice of a backend server goes by. */
+    /** @return the inputs for the choice of a backend server. */
     selection_scope scope(request_state const& request, shard_state const& shard) const;
-    /** Notes that no backend server was left for a shard, for the log. */
+    /** Counts a failed choice of a backend server in the summary, by cause. */
     static void note_miss(request_summary& summary, selection_miss miss);
-    /** @return the share of queries like this one that its shards can answer. */
+    /** @return coverable_share() for the shards of the request. */
     static double coverable(request_state const& request, time_point now);
-    /** @return whether a query may begin now. */
+    /** @return whether admission control lets a query start. */
     bool admitted(request_state& request, time_point now);
-    /** @return how long callers of the request's route wait at first. @param asked how long this one still waits. */
+    /** @return the usual total time that callers of the request's route wait. @param asked deadline of this request. */
     milliseconds full_deadline(request_state const& request, milliseconds asked);
-    /** Tells admission control how a query went. */
+    /** Removes a query from admission control. */
     void leave_admission(request_state& request);
-    /** @return the refusal for load, with the time to come back. */
+    /** @return the response that rejects a request for overload, with a Retry-After. */
     http_response return_later(request_state const& request);
 
-    /** Notes the digest of a request, for the quarantine and the log. */
+    /** Sets the digest of a request, for the quarantine and the log. */
     static void look_at(request_state& request);
-    /** @return what is believed of a request that arrives. */
+    /** @return whether an arriving request is clear, a suspect or quarantined. */
     request_standing look_up(request_state& request, time_point now);
-    /** @return the refusal of a request in quarantine, with the time that it stays there. */
+    /** @return the response that rejects a quarantined request, with the remaining quarantine time as Retry-After. */
     http_response quarantine_refusal(request_state const& request, time_point now) const;
-    /** A suspect begins: it goes to one backend server at a time. */
+    /** Starts the trial of a suspect: its attempts are sent one at a time. */
     void begin_trial(request_state& request);
-    /** Sends the first attempts of all shards, or of one when the request is cautious. */
+    /** Sends the first attempt of every shard, or of only one shard if attempts are sent one at a time. */
     void first_attempts(request_state& request, time_point now);
-    /** A backend server closed the connection under a request. @return false when the request has ended by it. */
+    /** A backend server closed the connection of an attempt. @return false if that finished the request. */
     bool on_disconnect(request_state& request, time_point now);
-    /** @return whether a shard of a cautious request waits until what is under way of the others has ended. */
+    /** @return whether attempts are sent one at a time and one is in flight or about to be sent. */
     static bool waits_for_others(request_state const& request);
-    /** Sends nothing more until a backend server answers, or all attempts have ended; then to one at a time. */
+    /** Stops sending until a backend server sends a usable response or all attempts have finished. In the second case
+     *  the next attempts are sent one at a time. */
     void become_cautious(request_state& request);
-    /** Gives up what runs of a cautious request, where it may be sent again. */
+    /** Cancels the attempts of all shards that may be sent again, and holds these shards. */
     void hold_all(request_state& request, time_point now);
-    /** Sends the first attempt of a shard that was held, or a further one. */
+    /** Sends the next attempt of a shard that was held. */
     void send_shard(request_state& request, std::size_t index, time_point now);
-    /** Sends the next attempt of a cautious request that has none under way. */
+    /** Sends the next attempt of a request whose attempts are sent one at a time, if none is in flight. */
     void next_cautious(request_state& request, time_point now);
-    /** A backend server gave an answer to use, so that the request crashes not all. @return whether shards are held. */
+    /** A backend server sent a usable response, so the request does not crash every server. @return whether shards
+     *  may be held, so that send_held() is needed. */
     bool on_survived(request_state& request, time_point now);
-    /** Sends the shards of a request that was cautious until now. */
+    /** Sends the held shards of a request, once attempts may be sent in parallel again. */
     void send_held(request_state& request, time_point now);
-    /** Notes for later requests what became of the servers under one that has ended. */
+    /** Updates the quarantine with the outcome of a finished request. */
     void draw_conclusions(request_state& request, time_point now);
 
-    /** @return most attempts in flight from this VM at one backend server of the shard. */
+    /** @return the maximum number of attempts in flight from this VM at one backend server of the shard. */
     int room(request_state const& request, shard_state const& shard) const;
-    /** @return how long an attempt at that distance runs before it is hedged. */
+    /** @return the delay after which an attempt at a backend server at distance @p where is hedged. */
     milliseconds hedge_delay(request_state const& request, proximity where) const;
-    /** Sets when the attempt of a shard that is under way at @p where is hedged. */
+    /** Schedules the hedge of an attempt in flight at a backend server at distance @p where. */
     void plan_hedge(request_state const& request, shard_state& shard, proximity where, time_point now) const;
-    /** Chooses a backend server and sends an attempt. @return why not, if not. */
+    /** Chooses a backend server and sends an attempt. @return the reason if none was sent. */
     selection_miss send(request_state& request, std::size_t index, attempt_reason reason, time_point now);
     /** Sends an attempt to a chosen backend server. */
     void submit(request_state& request, std::size_t index, selection const& chosen, attempt_reason reason,
                 time_point now);
-    /** Notes a hedge or retry for the log: why there, and what is left of the budget. */
+    /** Adds a hedge or retry to the summary, with the inputs of its choice and the remaining retry budget. */
     void note_extra(request_state& request, service_group& group, selection const& chosen, attempt_reason reason,
                     time_point now);
-    /** Sends the first attempt of a shard, or lets it wait for room. */
+    /** Sends the first attempt of a shard, or queues it if there is no free connection. */
     void first_attempt(request_state& request, std::size_t index, time_point now);
-    /** @return whether queries queue at the backend servers of the request's shards. */
+    /** @return whether the backend servers of the request's shards are congested. */
     bool queued(request_state const& request, time_point now) const;
-    /** @return whether a second attempt at @p other may bring the answer sooner without making others late. */
+    /** @return whether a hedge to @p other is worth the load that it adds. */
     bool hedge_gains(request_state const& request, shard_state const& shard, selection const& other,
                      time_point now) const;
-    /** @return whether a second attempt that comes up late waits until what has arrived meanwhile is read. */
+    /** @return whether a hedge that is due late was postponed until the responses received meanwhile are read. */
     bool postpone_hedge(shard_state& shard, time_point now) const;
-    /** Sends a second attempt of a slow shard, when budget and replicas allow. */
+    /** Sends a hedge for a slow shard, if the retry budget allows it and another replica is available. */
     void hedge(request_state& request, std::size_t index, time_point now);
-    /** Sends a further attempt of a shard whose attempts all failed, or gives it up. */
+    /** Sends a retry for a shard whose attempts have all failed, or fails the shard. */
     void retry(request_state& request, std::size_t index, time_point now);
-    /** Puts a shard into its service's queue. */
+    /** Adds a shard to the queue of its service. */
     void wait_for_room(request_state& request, std::size_t index);
-    /** Sends the waiting shards of a service while there is room. */
+    /** Sends the queued shards of a service while it has free connections. */
     void pump(service_group& group, time_point now);
 
-    /** Takes in the result of an attempt. */
+    /** Handles the result of an attempt. */
     void on_result(attempt_id id, attempt_result result, time_point now);
-    /** Takes in how long a backend server says that it stays cold. */
+    /** Updates the warm-up time of a backend server from its response. */
     void note_warmup(backend_server& server, http_response const& response, time_point now) const;
-    /** Takes in a whole response. */
+    /** Handles a complete response. */
     void on_answer(request_state& request, std::size_t index, http_response response, time_point now);
-    /** Takes in an attempt without a response to use. */
+    /** Handles an attempt that finished without a response. */
     void on_failure(request_state& request, std::size_t index, attempt_result const& result, time_point now);
-    /** @return whether a response can be (part of) the answer. */
+    /** @return whether a response may be sent to the caller or merged. */
     bool usable_answer(request_state const& request, http_response const& response) const;
-    /** A shard has its answer. */
+    /** A shard has received its response: cancels its other attempts. */
     void shard_done(request_state& request, std::size_t index, time_point now);
-    /** A shard is given up. */
+    /** A shard has failed for good. */
     void shard_failed(request_state& request, std::size_t index, time_point now);
-    /** Lets go of an attempt that is not needed any more. */
+    /** Cancels an attempt that is no longer needed, or lets it run on for measurement. */
     void release(attempt_id id, bool may_observe, time_point now);
 
-    /** Answers the caller when the request is decided. */
+    /** Finishes the request if its response is decided. */
     void check_finish(request_state& request, time_point now);
-    /** Ends a request with an answer. */
+    /** Finishes a request with a response. */
     void finish(request_key key, http_response response, char const* reason, time_point now);
-    /** Tells what became of a request that has ended. */
+    /** Completes the summary of a finished request and passes it to the hook. */
     void report(request_state& request, time_point now);
-    /** @return the answer made of the shards that are done. */
+    /** @return the response merged from the shards that have one. */
     http_response merged(request_state& request) const;
-    /** @return the final failure, true to what may have run. */
+    /** @return the response to a failed request. It says that the request has not run only if that is certain. */
     http_response failure_answer(request_state& request, bool timed_out);
-    /** Wakes the request at a time, when that is earlier than planned. */
+    /** Sets the request's timer to @p when, unless it is due earlier. */
     void arm(request_state& request, time_point when);
-    /** Wakes the request at the next of all its times. */
+    /** Sets the request's timer to the earliest of its deadline, response time, hedges and retries. */
     void rearm(request_state& request, time_point now);
-    /** Does what is due for a request. */
+    /** Handles the timer of a request. */
     void on_due(request_state& request, time_point now);
-    /** Does all that is due. */
+    /** Runs all timers that are due. */
     void on_timer(time_point now);
 };
 
--- a/src/dispatch/duration_window.cpp
+++ b/src/dispatch/duration_window.cpp
@@ -1,4 +1,4 @@
-/** @file duration_window.cpp Quantiles of recent times: latencies for hedge delays, and how long callers wait. */
+/** @file duration_window.cpp Quantiles of recent durations: latencies for hedge delays, and time-outs of callers. */
 #include <cornelspring/dispatch.hpp>
 
 #include <algorithm>
--- a/src/dispatch/feature_toggles.cpp
+++ b/src/dispatch/feature_toggles.cpp
@@ -1,4 +1,4 @@
-/** @file feature_toggles.cpp Mechanisms that can be switched off, to measure what each is worth. */
+/** @file feature_toggles.cpp Mechanisms that can be disabled to measure their effect. */
 #include <cornelspring/dispatch.hpp>
 
 #include <algorithm>
@@ -9,34 +9,34 @@
 {
     using options = dispatcher_options;
     static std::vector<feature_toggle> const all = {
-        {"hedging", "second attempts of slow shards", [](options& o) { o.hedging = false; }},
-        {"hedge_pause", "a second attempt that comes up late waits until arrived answers are read",
+        {"hedging", "hedges of slow shards", [](options& o) { o.hedging = false; }},
+        {"hedge_pause", "a hedge that is due late waits until the received responses are read",
          [](options& o) { o.hedge_pause = false; }},
-        {"hedge_check", "while queries queue, second attempts go only where they gain",
+        {"hedge_check", "while congested, hedges go only to servers that are expected to be faster",
          [](options& o) { o.hedge_check = false; }},
-        {"observation", "attempts that are not needed any more run on to time their server",
+        {"observation", "attempts that are no longer needed run on to measure their server",
          [](options& o) { o.observation_time = milliseconds(0); }},
-        {"expected_wait", "servers are chosen by their expected wait, not only by distance",
+        {"expected_wait", "servers are chosen by expected wait, not only by distance",
          [](options& o) { o.selection.by_wait = false; }},
         {"suspicion", "servers that failed or stalled are avoided for a while",
          [](options& o) { o.selection.suspicion = false; }},
-        {"failure_weight", "servers that failed lately count as slower",
+        {"failure_weight", "servers that failed recently count as slower",
          [](options& o) { o.selection.failure_weight = 0; }},
         {"cold_weight", "cold servers count as slower", [](options& o) { o.selection.cold_factor = 1; }},
-        {"near_first", "near servers come before those of other regions",
+        {"near_first", "near servers are preferred to those of other regions",
          [](options& o) { o.selection.other_region_ms = o.selection.other_domain_ms = 0; }},
-        {"admission", "queries are refused by the measured wait", [](options& o) { o.admission = false; }},
-        {"by_coverage", "queries are refused by how often the shards that decide have answered",
+        {"admission", "queries are rejected by the measured wait", [](options& o) { o.admission = false; }},
+        {"by_coverage", "queries are rejected by how often the shards they need have responded",
          [](options& o) { o.by_coverage = false; }},
-        {"rank", "urgent queries are let in first", [](options& o) { o.by_priority = false; }},
-        {"returning", "callers that come again are let in last", [](options& o) { o.retries_last = false; }},
-        {"return_spread", "callers that were refused for load come back spread over their time",
+        {"rank", "queries of the highest priority are admitted first", [](options& o) { o.by_priority = false; }},
+        {"returning", "retries of callers are admitted last", [](options& o) { o.retries_last = false; }},
+        {"return_spread", "callers rejected for overload retry spread over their time left",
          [](options& o) { o.overload_retry_min = o.overload_retry_max = 0.1; }},
-        {"early_answer", "an answer leaves before its goal with the shards that are in",
+        {"early_answer", "a response is sent in time for its goal with the shards received so far",
          [](options& o) { o.early_answer = false; }},
-        {"caller_time", "answers leave earlier by the caller's time that has gone",
+        {"caller_time", "responses are sent earlier by the caller's time already spent",
          [](options& o) { o.caller_time = false; }},
-        {"connection_share", "a part of a server's connections is left free for restarts",
+        {"connection_share", "some connections of a server are left free for restarts",
          [](options& o) { o.connection_share = 1; }},
     };
     return all;
@@ -54,8 +54,7 @@
     std::string known;
     for (auto const& each : all)
         known += (known.empty() ? "" : ", ") + each.name;
-    throw error(error_kind::bad_settings, "there is no mechanism '" + mechanism + "' to switch off.",
-                "Use one of " + known + ".");
+    throw error(error_kind::bad_settings, "no mechanism is named '" + mechanism + "'.", "Use one of " + known + ".");
 }
 
 std::string feature_toggles_help()
--- a/src/dispatch/merge_records.cpp
+++ b/src/dispatch/merge_records.cpp
@@ -1,4 +1,4 @@
-/** @file merge_records.cpp The greatest records of the answers of many shards. */
+/** @file merge_records.cpp Merges the responses of many shards into their greatest records. */
 #include <cornelspring/dispatch.hpp>
 
 #include <algorithm>
--- a/src/dispatch/preconnect.cpp
+++ b/src/dispatch/preconnect.cpp
@@ -1,4 +1,4 @@
-/** @file preconnect.cpp Which backend servers a gateway connects to before a request needs it. */
+/** @file preconnect.cpp Choice of backend servers to connect to before a request needs it. */
 #include <cornelspring/dispatch.hpp>
 
 #include <algorithm>
@@ -10,7 +10,7 @@
                        std::function<bool(std::shared_ptr<backend_server> const&)> const& connected,
                        std::mt19937_64& random, time_point now)
 {
-    // Routes over the same shards may have different homes.
+    // Routes over the same shards may have different home regions.
     std::map<service_name, std::set<region_set>> services;
     for (auto const& via : config.routes()) {
         if (!via.gather) continue;
--- a/src/dispatch/request_state.hpp
+++ b/src/dispatch/request_state.hpp
@@ -1,81 +1,81 @@
-/** @file request_state.hpp What the dispatcher keeps of each request, shard and attempt (internal). */
+/** @file request_state.hpp State of each request, shard and attempt in the dispatcher (internal). */
 #pragma once
 
 #include <cornelspring/dispatch.hpp>
 
 namespace cornelspring {
 
-/** Recent shard latencies of one route: answers from another region take a round trip more, so that one window for both
- *  would hedge the near ones too late. */
+/** Recent shard latencies of one route. Responses from another region take an additional round trip, so that a common
+ *  window would delay the hedges of near shards. */
 struct route_latencies {
     duration_window near; ///< From backend servers of this region.
     duration_window far;  ///< From other regions.
-    /** @return the window for backend servers at @p where. */
+    /** @return the window for backend servers at distance @p where. */
     duration_window& of(proximity where) { return where == proximity::other_region ? far : near; }
 };
 
 /** Why an attempt is sent. */
 enum class attempt_reason { first, retry, hedge };
 
-/** An attempt that has not ended. */
+/** An attempt in flight. */
 struct open_attempt {
-    request_key request;                    ///< Request it serves.
-    std::size_t shard = 0;                  ///< Shard of the request.
+    request_key request;                    ///< Request it belongs to.
+    std::size_t shard = 0;                  ///< Index of the shard in the request.
     service_group* group = nullptr;         ///< Service.
     std::shared_ptr<backend_server> target; ///< Backend server.
-    duration_window* latencies = nullptr;   ///< Window of the route, for its sample.
-    time_point sent;                        ///< When it was sent.
-    bool trial = false;                     ///< Sent while its request was cautious.
-    bool observed = false;                  ///< Its shard is done; it runs on only to time its backend server.
+    duration_window* latencies = nullptr;   ///< Window that receives its latency.
+    time_point sent;                        ///< Time of sending.
+    bool trial = false;                     ///< Sent while the attempts of its request were sent one at a time.
+    bool observed = false;                  ///< No longer needed; runs on only to measure its backend server.
 };
 
-/** Progress of one shard of a request; a plain request has one. */
+/** Progress of one shard of a request. A request without a gather has one shard. */
 struct shard_state {
     service_group* group = nullptr;      ///< Service.
-    warmup_spec const* warmup = nullptr; ///< Its word on cold servers, in the request's configuration.
-    std::vector<backend_id> tried;       ///< Backend servers that had an attempt.
-    std::vector<attempt_id> open;        ///< Attempts not ended.
-    int sends = 0;                       ///< Attempts begun.
-    int arrivals = 0;                    ///< Attempts that may have reached a backend server.
-    int runs = 0;                        ///< Attempts that may have run.
-    bool done = false;                   ///< A usable answer is there.
-    bool failed = false;                 ///< Given up.
-    bool waiting = false;                ///< In the group's queue for room.
-    bool held = false;                   ///< Waits until another shard of a cautious request was answered.
-    time_point hedge_at;                 ///< When to hedge; max: never.
-    bool hedge_postponed = false;        ///< The hedge came up late once.
-    time_point retry_at;                 ///< When to try again; max: never.
-    std::optional<http_response> answer; ///< The answer, or the latest failure of a backend server.
+    warmup_spec const* warmup = nullptr; ///< Warm-up settings of the service in the request's configuration.
+    std::vector<backend_id> tried;       ///< Backend servers that an attempt was sent to.
+    std::vector<attempt_id> open;        ///< Attempts in flight.
+    int sends = 0;                       ///< Number of attempts.
+    int arrivals = 0;                    ///< Number of attempts that may have reached a backend server.
+    int runs = 0;                        ///< Number of attempts that may have run.
+    bool done = false;                   ///< A usable response was received.
+    bool failed = false;                 ///< It has finished without a usable response.
+    bool waiting = false;                ///< In the service's queue for a free connection.
+    bool held = false;                   ///< Waits for attempts at other shards, as attempts are sent one at a time.
+    time_point hedge_at;                 ///< Time of the hedge; max: none.
+    bool hedge_postponed = false;        ///< The hedge was postponed once, as it was due late.
+    time_point retry_at;                 ///< Time of the retry; max: none.
+    std::optional<http_response> answer; ///< Usable response, or else the last response received.
 };
 
-/** A request not yet answered. */
+/** A request without a response. */
 struct request_state {
     request_key key;                              ///< Key.
-    http_request message;                         ///< As received.
-    std::string head_bytes;                       ///< Start line and forwarded headers, ready to send.
-    std::shared_ptr<serving_config const> config; ///< Version that serves it.
+    http_request message;                         ///< Request as received.
+    std::string head_bytes;                       ///< Start line and forwarded headers, serialized.
+    std::shared_ptr<serving_config const> config; ///< Configuration that it is handled with.
     route const* via = nullptr;                   ///< Route, inside config.
-    time_point arrived;                           ///< When it was read.
-    time_point deadline;                          ///< Final answer at the latest.
-    bool returning = false;                       ///< Its caller tried before, by the time that has gone.
-    milliseconds gone{0};                         ///< Time of its caller that had gone before it sent the request.
-    time_point answer_by;                         ///< A sufficient answer goes out at this time.
-    time_point due = time_point::max();           ///< Entry in the dispatcher's time list.
+    time_point arrived;                           ///< Time at which it was read.
+    time_point deadline;                          ///< Latest time of the response.
+    bool returning = false;                       ///< Its caller has tried before, judging by the time already spent.
+    milliseconds gone{0};                         ///< Time that its caller had spent before sending it.
+    time_point answer_by;                         ///< When a response with sufficient coverage is sent, at the latest.
+    time_point due = time_point::max();           ///< Its timer in the dispatcher's list.
     route_latencies* latencies = nullptr;         ///< Recent shard latencies of the route.
     std::vector<shard_state> shards;              ///< Shards.
-    std::size_t done = 0;                         ///< Shards done.
-    std::size_t failed = 0;                       ///< Shards given up.
-    std::size_t needed = 1;                       ///< Shards that a success needs.
-    admission_control* admission = nullptr;       ///< Where it was admitted; null when it was not asked.
-    bool half_answered = false;                   ///< Half of the shards have answered.
-    bool cautious = false;                        ///< It goes to one backend server at a time.
-    bool on_trial = false;                        ///< It was a suspect when it came.
-    bool survived = false;                        ///< Some backend server answered it.
-    int trials = 0;                               ///< Attempts sent while it was cautious that may have run.
-    request_summary summary;                      ///< For logs.
-    /** @return whether the route gathers shards. */
+    std::size_t done = 0;                         ///< Number of shards with a usable response.
+    std::size_t failed = 0;                       ///< Number of failed shards.
+    std::size_t needed = 1;                       ///< Number of shards that a successful response needs.
+    admission_control* admission = nullptr;       ///< Admission control that admitted it, or null.
+    bool half_answered = false;                   ///< Half of the shards have responded.
+    bool cautious = false;                        ///< Attempts are sent one at a time, as it may crash backend servers.
+    bool on_trial = false;                        ///< It was a suspect on arrival, and this is its trial.
+    bool survived = false;                        ///< Some backend server has sent a usable response.
+    int trials = 0;                               ///< Attempts of the one-at-a-time phase that may have run.
+    request_summary summary;                      ///< Summary for logs and metrics.
+    /** @return whether its route is a gather. */
     bool gathers() const { return via->gather.has_value(); }
-    /** @return whether some attempt may have run, or still may. */
+    /** @return whether some attempt may have run or may still run. */
     bool may_have_run() const;
 };
 
--- a/tests/dispatcher_fixture.hpp
+++ b/tests/dispatcher_fixture.hpp
@@ -1,4 +1,4 @@
-/** @file dispatcher_fixture.hpp A dispatcher with backend servers played by the test, in virtual time. */
+/** @file dispatcher_fixture.hpp A dispatcher in virtual time. The test acts as its backend servers. */
 #pragma once
 
 #include <cornelspring/dispatch.hpp>
@@ -7,9 +7,9 @@
 
 namespace cornelspring {
 
-/** One dispatcher; attempts are recorded, and the test ends them. */
+/** One dispatcher. Its attempts are recorded, and the test provides their results. */
 struct dispatcher_fixture {
-    /** Services: s and t with two backend servers each, and four shards g0 to g3 with two each. */
+    /** Registers two backend servers each for the services s and t and the shards g0 to g3. */
     explicit dispatcher_fixture(dispatcher_options options = {}, char const* config = "default")
         : registry({domain_name("d"),
                     region_name("r"),
@@ -33,7 +33,7 @@
                                                 std::move(hooks), 1);
     }
 
-    /** Registers a backend server named after service and replica. */
+    /** Registers a backend server. Its id consists of service and replica. */
     void add_backend(std::string const& service, std::string const& replica, std::string const& domain = "d")
     {
         registry.apply({backend_id(service + replica),
@@ -46,7 +46,7 @@
                        now);
     }
 
-    /** @return a configuration with the routes that the tests use, gathering over @p shards. */
+    /** @return a configuration with the routes of the tests. The gather is over @p shards. */
     static std::shared_ptr<serving_config const> config_of(int version, std::vector<std::string> const& shards)
     {
         std::vector<route> routes;
@@ -90,19 +90,19 @@
         return key;
     }
 
-    /** Ends attempt @p index without an answer. */
+    /** Finishes attempt @p index without a response. */
     void finish_attempt(std::size_t index, attempt_end how)
     {
         requests->on_result(sent[index].id, {how, {}, "test"}, now);
     }
 
-    /** Answers attempt @p index. */
+    /** Finishes attempt @p index with a response. */
     void respond(std::size_t index, http_response response)
     {
         requests->on_result(sent[index].id, {attempt_end::answered, std::move(response), ""}, now);
     }
 
-    /** Answers attempt @p index with a signed response. */
+    /** Finishes attempt @p index with a signed response. */
     void respond(std::size_t index, int status, std::string body)
     {
         http_response response;
@@ -112,7 +112,7 @@
         respond(index, std::move(response));
     }
 
-    /** Lets time pass in steps of one millisecond. */
+    /** Advances the time in steps of one millisecond and runs the timers. */
     void advance(std::chrono::milliseconds by)
     {
         for (auto const until = now + by; now < until;) {
@@ -121,9 +121,9 @@
         }
     }
 
-    /** @return whether the request was answered. */
+    /** @return whether a response to the request was sent. */
     bool has_response(request_key key) const { return responses.contains(key.value()); }
-    /** @return the answer. */
+    /** @return the response to the request. */
     http_response const& response_to(request_key key) const
     {
         REQUIRE(has_response(key));
@@ -131,20 +131,20 @@
     }
 
     time_point start_time{std::chrono::seconds(1000)}; ///< Start of the test.
-    time_point now = start_time;                       ///< Virtual time.
+    time_point now = start_time;                       ///< Current virtual time.
     config_holder configs;                             ///< Configuration.
     backend_registry registry;                         ///< Backend servers.
-    place_rules places;                                ///< Which of them a request may reach.
+    place_rules places;                                ///< Placement rules.
     request_quarantine quarantine;                     ///< Requests that crash backend servers.
-    clock::duration max_unread{0};                     ///< Time that requests have waited unread.
-    clock::duration round_trip{0};                     ///< Time on the network of the requests.
-    caller_address caller{"192.0.2.1"};                ///< Who sends them.
-    std::vector<outgoing_attempt> sent;                ///< Attempts in order.
-    std::set<std::uint64_t> cancelled;                 ///< Attempts given up.
-    std::map<std::uint64_t, http_response> responses;  ///< By request key.
-    std::vector<request_summary> finished;             ///< Requests that ended.
-    std::uint64_t last_key = 0;                        ///< Last key.
-    std::unique_ptr<dispatcher> requests;              ///< Under test.
+    clock::duration max_unread{0};                     ///< Upper bound on the time that requests were unread.
+    clock::duration round_trip{0};                     ///< Network time of the requests.
+    caller_address caller{"192.0.2.1"};                ///< Address of their caller.
+    std::vector<outgoing_attempt> sent;                ///< Attempts in the order of sending.
+    std::set<std::uint64_t> cancelled;                 ///< Ids of cancelled attempts.
+    std::map<std::uint64_t, http_response> responses;  ///< Responses to callers by request key.
+    std::vector<request_summary> finished;             ///< Summaries of finished requests.
+    std::uint64_t last_key = 0;                        ///< Last request key used.
+    std::unique_ptr<dispatcher> requests;              ///< Dispatcher under test.
 };
 
 } // namespace cornelspring
--- a/tests/test_caller_time.cpp
+++ b/tests/test_caller_time.cpp
@@ -1,4 +1,4 @@
-/** @file test_caller_time.cpp Answers leave early enough for their caller, by what its request and connection show. */
+/** @file test_caller_time.cpp Responses are sent earlier by the caller's time already spent and by the network time. */
 #include "dispatcher_fixture.hpp"
 
 #include <doctest/doctest.h>
@@ -8,12 +8,12 @@
 
 namespace {
 
-/** Margin of the process itself. */
+/** Default answer_margin. */
 constexpr auto margin = 11ms;
-/** Goal of the fixture's routes. */
+/** Latency goal of the fixture's routes. */
 constexpr auto goal = 200ms;
 
-/** Starts a query whose last shard never answers. @return when its answer leaves, counted from its arrival. */
+/** Starts a query whose last shard never responds. @return the time from its arrival to the response. */
 std::chrono::milliseconds answered_after(dispatcher_fixture& fleet, std::string const& id,
                                          std::vector<http_header> const& headers)
 {
@@ -27,34 +27,36 @@
     return std::chrono::duration_cast<std::chrono::milliseconds>(fleet.now - begun);
 }
 
-/** @return the headers of a caller that waits for @p deadline milliseconds more. */
+/** @return the headers of a caller that waits @p deadline milliseconds. */
 std::vector<http_header> waiting(char const* deadline) { return {{"deadline", deadline}}; }
 
 } // namespace
 
-TEST_CASE("caller time: an answer leaves earlier by the time that its caller spent before it sent the request")
+TEST_CASE("caller time: a response is sent earlier by the time that its caller spent before sending the request")
 {
     dispatcher_fixture fleet;
     CHECK(answered_after(fleet, "id1", waiting("800")) == goal - margin);
-    CHECK(answered_after(fleet, "id2", waiting("786")) == goal - margin - 14ms); // It had looked up an address.
+    // The second caller looked up an address first.
+    CHECK(answered_after(fleet, "id2", waiting("786")) == goal - margin - 14ms);
     CHECK(answered_after(fleet, "id3", waiting("800")) == goal - margin);
 }
 
-TEST_CASE("caller time: an answer leaves earlier by its time on the network")
+TEST_CASE("caller time: a response is sent earlier by the network time")
 {
     dispatcher_fixture fleet;
     fleet.round_trip = 30ms;
     CHECK(answered_after(fleet, "id1", waiting("800")) == goal - margin - 30ms);
 }
 
-TEST_CASE("caller time: a request whose goal has passed already, or a caller that waits for less time, loses nothing")
+TEST_CASE(
+    "caller time: a request whose goal has passed, or whose caller has a shorter time-out, gets no earlier response")
 {
     dispatcher_fixture fleet;
     CHECK(answered_after(fleet, "id1", waiting("800")) == goal - margin);
     CHECK(answered_after(fleet, "id2", waiting("500")) == goal - margin);
 }
 
-TEST_CASE("caller time: a caller that waits longer than the rest does not make theirs look spent")
+TEST_CASE("caller time: a caller with a longer time-out does not make the others' time look spent")
 {
     dispatcher_fixture fleet;
     for (int i = 0; i < 40; ++i)
@@ -62,7 +64,7 @@
     CHECK(answered_after(fleet, "late", waiting("786")) == goal - margin - 14ms);
 }
 
-TEST_CASE("caller time: the second caller of a VM that sees few shows what the first one had spent")
+TEST_CASE("caller time: on a VM with few callers, the second one shows how much time the first one had spent")
 {
     dispatcher_fixture fleet;
     answered_after(fleet, "id1", waiting("786"));
@@ -70,12 +72,12 @@
     CHECK(answered_after(fleet, "id3", waiting("786")) == goal - margin - 14ms);
 }
 
-TEST_CASE("caller time: first callers have all looked up an address, and the route's timeout tells what they had")
+TEST_CASE("caller time: the route's timeout is used while all callers have just looked up an address")
 {
     dispatcher_fixture fleet; // Its routes have a timeout of one second.
     CHECK(answered_after(fleet, "id1", waiting("978")) == goal - margin - 22ms);
     CHECK(answered_after(fleet, "id2", waiting("1000")) == goal - margin);
-    SUBCASE("callers that wait for less than the timeout are believed once enough of them were seen")
+    SUBCASE("after enough requests, a shorter time-out of all callers is recognized")
     {
         for (int i = 0; i < 40; ++i)
             answered_after(fleet, "many" + std::to_string(i), waiting("950"));
@@ -83,16 +85,16 @@
     }
 }
 
-TEST_CASE("caller time: without a deadline nothing is assumed to have gone")
+TEST_CASE("caller time: without a deadline header, no time counts as spent")
 {
     dispatcher_fixture fleet;
     CHECK(answered_after(fleet, "id1", {}) == goal - margin);
 }
 
-TEST_CASE("caller time: of a long goal, an answer leaves a twentieth before it")
+TEST_CASE("caller time: for a long goal, the margin is a twentieth of the goal")
 {
     dispatcher_options options;
-    options.answer_margin_share = 0.2; // 40 ms of the goal here, as a twentieth is of 800 ms.
+    options.answer_margin_share = 0.2; // 40 ms of the 200 ms goal, the same margin as a twentieth of 800 ms.
     dispatcher_fixture fleet(options);
     CHECK(answered_after(fleet, "id1", waiting("800")) == goal - 40ms);
     CHECK(dispatcher_options{}.answer_margin_share == doctest::Approx(0.05));
--- a/tests/test_caution.cpp
+++ b/tests/test_caution.cpp
@@ -1,4 +1,4 @@
-/** @file test_caution.cpp Requests under which backend servers close connections: care, trial, refusal. */
+/** @file test_caution.cpp Requests that may crash backend servers: attempts one at a time, trials, quarantine. */
 #include "dispatcher_fixture.hpp"
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 
 namespace {
 
-/** @return the attempts sent from @p from on that were not given up. */
+/** @return the number of attempts from index @p from on that were not cancelled. */
 std::size_t under_way(dispatcher_fixture const& fleet, std::size_t from)
 {
     return static_cast<std::size_t>(
@@ -16,7 +16,7 @@
                       [&](outgoing_attempt const& order) { return !fleet.cancelled.contains(order.id.value()); }));
 }
 
-/** Crashes every backend server that runs the request, until it has an answer. */
+/** Crashes every backend server that runs the request, until a response is sent. */
 void crash_all(dispatcher_fixture& fleet, request_key key, std::size_t from)
 {
     for (auto i = from; i < fleet.sent.size() && !fleet.has_response(key); ++i) {
@@ -27,13 +27,13 @@
 
 } // namespace
 
-TEST_CASE("caution: a query under which servers end goes on to one server, not to the other ones of its shards")
+TEST_CASE("caution: a query that crashes backend servers is retried at one server, not at a replica of each shard")
 {
     dispatcher_fixture fleet;
     auto const key = fleet.start("/gather/x", "id1");
     REQUIRE(fleet.sent.size() == 4);
     fleet.finish_attempt(0, attempt_end::disconnected);
-    CHECK(fleet.sent.size() == 4); // The three others tell soon whether the query is to blame.
+    CHECK(fleet.sent.size() == 4); // The three other attempts show soon whether the query is the cause.
     fleet.finish_attempt(1, attempt_end::disconnected);
     CHECK(fleet.cancelled.size() == 2);
     REQUIRE(fleet.sent.size() == 5);
@@ -42,8 +42,9 @@
     CHECK(fleet.sent.size() == 5);
     CHECK(fleet.finished.back().reason == std::string("crashed_servers"));
 
-    // The same query is refused at once, truly not run, until the quarantine ends; another one is not.
-    fleet.caller = caller_address("192.0.2.7"); // Backend servers see nothing of the caller's address.
+    // The same query is rejected immediately, without being run, until the quarantine ends. Another query is not.
+    // The digest does not depend on the caller's address, which backend servers do not receive.
+    fleet.caller = caller_address("192.0.2.7");
     auto const again = fleet.start("/gather/x", "id2");
     CHECK(fleet.response_to(again).status == 503);
     CHECK(std::stod(fleet.response_to(again).header("retry-after")) == 60);
@@ -52,13 +53,13 @@
     CHECK(fleet.sent.size() == 9);
 }
 
-TEST_CASE("caution: a query that only met crashing servers is answered whole, by the other ones")
+TEST_CASE("caution: a query that does not cause crashes gets a complete response from the remaining servers")
 {
     dispatcher_fixture fleet;
     auto const key = fleet.start("/gather/x", "id1");
     fleet.finish_attempt(0, attempt_end::disconnected);
-    SUBCASE("after one loss, as soon as another shard has answered") { fleet.respond(1, 200, std::string(16, 'a')); }
-    SUBCASE("after two losses, as soon as one server has answered")
+    SUBCASE("after one crash, as soon as another shard has responded") { fleet.respond(1, 200, std::string(16, 'a')); }
+    SUBCASE("after two crashes, as soon as one server has responded")
     {
         fleet.finish_attempt(1, attempt_end::disconnected);
         REQUIRE(fleet.sent.size() == 5);
@@ -72,7 +73,7 @@
     CHECK(fleet.quarantine.standing(fleet.finished.back().digest, fleet.now) == request_standing::clear);
 }
 
-TEST_CASE("caution: a slow shard is hedged again once another one has answered")
+TEST_CASE("caution: slow shards are hedged again once another shard has responded")
 {
     dispatcher_fixture fleet;
     fleet.start("/gather/x", "id1");
@@ -80,12 +81,12 @@
     fleet.advance(150ms);
     CHECK(fleet.sent.size() == 4);
     fleet.respond(1, 200, std::string(16, 'a'));
-    CHECK(fleet.sent.size() == 5); // The shard that lost its server.
+    CHECK(fleet.sent.size() == 5); // The retry of the shard whose server crashed.
     fleet.advance(100ms);
-    CHECK(fleet.sent.size() >= 7); // The two that are slow.
+    CHECK(fleet.sent.size() >= 7); // Hedges of the two slow shards.
 }
 
-TEST_CASE("caution: single requests add up over repetitions, also at most-once routes")
+TEST_CASE("caution: crashes add up over repetitions of a request with one shard, also on non-idempotent routes")
 {
     for (char const* path : {"/plain/x", "/write/x"}) {
         CAPTURE(path);
@@ -106,10 +107,10 @@
     }
 }
 
-TEST_CASE("caution: a suspect is tried at one server at a time, and only once at a time")
+TEST_CASE("caution: a suspect is sent to one server at a time, in one trial at a time")
 {
     dispatcher_options options;
-    options.by_coverage = false; // The shards that could not be reached would have queries refused.
+    options.by_coverage = false; // Otherwise queries would be rejected because of the shards that are unreachable.
     dispatcher_fixture fleet(options);
     auto const first = fleet.start("/gather/x", "id1");
     fleet.finish_attempt(0, attempt_end::disconnected);
@@ -128,7 +129,7 @@
     REQUIRE(fleet.sent.size() == before + 1);
     auto const meanwhile = fleet.start("/gather/x", "id3");
     CHECK(fleet.response_to(meanwhile).status == 503);
-    SUBCASE("an answer clears it, and all shards are asked")
+    SUBCASE("a response clears it, and attempts are sent to all shards")
     {
         fleet.respond(before, 200, std::string(16, 'a'));
         CHECK(fleet.sent.size() == before + 4);
@@ -138,22 +139,22 @@
         fleet.start("/gather/x", "id4");
         CHECK(fleet.sent.size() == before + 8);
     }
-    SUBCASE("one more crash puts it into quarantine")
+    SUBCASE("another crash leads to quarantine")
     {
         fleet.finish_attempt(before, attempt_end::disconnected);
         CHECK(fleet.response_to(trial).status == 502);
         CHECK(fleet.response_to(fleet.start("/gather/x", "id4")).status == 503);
         CHECK(fleet.sent.size() == before + 1);
     }
-    SUBCASE("a server that refuses says nothing of it")
+    SUBCASE("a rejection by a server neither clears nor incriminates it")
     {
         fleet.finish_attempt(before, attempt_end::not_executed);
         fleet.advance(20ms);
         CHECK(under_way(fleet, before + 1) == 1);
     }
-    SUBCASE("a caller that leaves during the trial does not get it tried again and again")
+    SUBCASE("a caller that disconnects during the trial cannot cause repeated trials")
     {
-        // Two crashes are known; a third is needed.
+        // Two crashes are recorded, and a third one is needed.
         fleet.finish_attempt(before, attempt_end::disconnected);
         auto const digest = fleet.finished.back().digest;
         fleet.advance(60s);
@@ -164,7 +165,7 @@
     }
 }
 
-TEST_CASE("caution: a quarantine told by another gateway holds here")
+TEST_CASE("caution: a quarantine reported by a peer gateway applies here")
 {
     dispatcher_fixture fleet;
     http_request message;
@@ -178,12 +179,12 @@
 }
 
 /*
- * What callers saw: a query that all of them ask was refused for a minute at every gateway. Another query crashed the
- * servers meanwhile, and the common one ran on them, lost two, and lost the one that it was tried at: 1,292 of 1,737
- * queries of a soak run were refused (seed 301, 14 s).
- * Cause: what speaks against a request was kept, what speaks for it was not.
+ * Regression test: a query that all callers send was quarantined for a minute at every gateway. Another query was
+ * crashing backend servers, and the common query ran on two of them and then on a third one in its trial. In a soak run
+ * (seed 301, 14 s), 1,292 of 1,737 queries were rejected.
+ * Cause: the gateway recorded the crashes during a request, but not its successful responses.
  */
-TEST_CASE("caution: a query that is answered again and again is not taken for one that crashes servers")
+TEST_CASE("caution: a query with recent responses is not quarantined for crashes that another query causes")
 {
     dispatcher_fixture fleet;
     fleet.start("/gather/common", "id1");
@@ -193,15 +194,15 @@
     crash_all(fleet, unlucky, 4);
     CHECK(fleet.response_to(unlucky).status == 502);
 
-    SUBCASE("here") {}
-    SUBCASE("when another gateway says so")
+    SUBCASE("crashes at this gateway") {}
+    SUBCASE("crashes reported by a peer gateway")
     {
         http_request message;
         message.path = "/gather/common";
         message.headers = {{"host", "h.example"}};
         fleet.quarantine.learn("gw", {{digest_of(message), 3, 1, milliseconds(30000)}}, fleet.now);
         fleet.start("/gather/common", "id3");
-        // The others learn that it was answered.
+        // The peer gateways are notified that it received a response.
         REQUIRE(fleet.quarantine.told(fleet.now).size() == 1);
         CHECK(fleet.quarantine.told(fleet.now)[0].answered);
     }
@@ -209,7 +210,7 @@
     auto const next = fleet.start("/gather/common", "id4");
     CHECK(fleet.sent.size() == before + 4);
     CHECK_FALSE(fleet.has_response(next));
-    // Servers may change: what was answered long ago says nothing.
+    // Backend servers may change, so that old responses do not count.
     fleet.advance(40s);
     auto const later = fleet.sent.size();
     auto const changed = fleet.start("/gather/common", "id5");
--- a/tests/test_crashing_fleet.cpp
+++ b/tests/test_crashing_fleet.cpp
@@ -1,4 +1,4 @@
-/** @file test_crashing_fleet.cpp A request that crashes servers, at fleets of 7 to 195 VMs in virtual time. */
+/** @file test_crashing_fleet.cpp Quarantine of a request that crashes backend servers, with 7 to 195 emulated VMs. */
 #include <cornelspring/emulator.hpp>
 
 #include <doctest/doctest.h>
@@ -9,7 +9,8 @@
 
 namespace {
 
-/** @return @p vms gateways over 20 shards, one kind of query, and a request that comes again each 2.3 s. */
+/** @return a deployment of @p vms gateways over 20 shards with one kind of query. A request that crashes backend
+ * servers is sent every 2.3 s. */
 emulated_deployment crashing_day(int vms, std::uint64_t seed)
 {
     emulated_deployment made;
@@ -33,27 +34,27 @@
 
 } // namespace
 
-TEST_CASE("emulator: a request that crashes servers is kept from them, whichever gateway it comes to")
+TEST_CASE("emulator: a request that crashes backend servers is quarantined at all gateways")
 {
     for (int const vms : {7, 70, 195}) {
         for (std::uint64_t seed = 1; seed <= 3; ++seed) {
             CAPTURE(vms);
             CAPTURE(seed);
             auto const result = emulate(crashing_day(vms, seed));
-            CHECK(result.servers_crashed >= 3); // It is not known by itself.
+            CHECK(result.servers_crashed >= 3); // The crashes are needed to detect it.
             CHECK(result.servers_crashed <= 25);
             CHECK(result.crashing_repeats <= 3);
         }
     }
 }
 
-TEST_CASE("emulator: callers of other queries are served while a request crashes servers")
+TEST_CASE("emulator: other queries are served while a request crashes backend servers")
 {
-    // Of the value, on this seed: 0.408 with nothing kept of such requests, 0.991 with it.
+    // Share of the response value with this seed: 0.408 without crash records, 0.991 with them.
     CHECK(emulate(crashing_day(7, 1)).earned_share() > 0.9);
 }
 
-TEST_CASE("emulator: gateways that all start again know the request still")
+TEST_CASE("emulator: the quarantine survives a restart of all gateways")
 {
     auto day = crashing_day(7, 1);
     emulated_fault restart;
--- a/tests/test_dispatcher.cpp
+++ b/tests/test_dispatcher.cpp
@@ -1,22 +1,22 @@
-/** @file test_dispatcher.cpp The life of a request over its shards, without sockets or clocks. */
+/** @file test_dispatcher.cpp Processing of requests over their shards, without sockets or clocks. */
 #include "dispatcher_fixture.hpp"
 
 using namespace cornelspring;
 using namespace std::chrono_literals;
 
-TEST_CASE("dispatcher: before any configuration a request is refused as not run")
+TEST_CASE("dispatcher: a request without any configuration is rejected as not run")
 {
     dispatcher_fixture fleet({}, nullptr);
     auto const key = fleet.start("/any/", "id1");
     CHECK(fleet.response_to(key).status == 503);
-    // The configuration is there within 0.1 s; a caller who waits for 0.8 s comes back after a third of it at the
-    // latest.
+    // The configuration is usually available within 0.1 s. A caller with a time-out of 0.8 s retries after at most a
+    // third of it.
     auto const seconds = std::stod(fleet.response_to(key).header("retry-after"));
     CHECK(seconds >= 0.1);
     CHECK(seconds <= 0.8 / 3);
 }
 
-TEST_CASE("dispatcher: the longer no configuration can be had, the later callers are told to come back")
+TEST_CASE("dispatcher: Retry-After grows with the time without a configuration")
 {
     dispatcher_fixture fleet({}, nullptr);
     auto const told = [&fleet] {
@@ -33,7 +33,7 @@
     CHECK(after_long <= 2.0);
 }
 
-TEST_CASE("dispatcher: a request without a route gets 404 and reaches nobody")
+TEST_CASE("dispatcher: a request without a route gets 404 and is not sent")
 {
     dispatcher_fixture fleet;
     auto const key = fleet.start("/nowhere/", "id1");
@@ -41,7 +41,7 @@
     CHECK(fleet.sent.empty());
 }
 
-TEST_CASE("dispatcher: the request goes out unchanged, with the target, the time left and its own id")
+TEST_CASE("dispatcher: attempts carry the request unchanged, with the target, the caller's deadline and the request id")
 {
     dispatcher_fixture fleet;
     fleet.start("/plain/x?y=1", "id1",
@@ -54,17 +54,17 @@
     CHECK(bytes.find("x-hop") == std::string::npos);
     CHECK(bytes.find("target: " + fleet.sent[0].target->entry.id.value() + "\r\n") != std::string::npos);
     CHECK(bytes.find("forged") == std::string::npos);
-    CHECK(bytes.find("deadline") == std::string::npos); // Written when the request leaves, from caller_deadline.
+    CHECK(bytes.find("deadline") == std::string::npos); // Written from caller_deadline when the attempt is sent.
     CHECK(fleet.sent[0].caller_deadline == fleet.now + 800ms);
 }
 
-TEST_CASE("dispatcher: what a failed attempt leads to")
+TEST_CASE("dispatcher: retry and final status for each outcome of an attempt")
 {
     struct row {
         char const* path;
         attempt_end end;
         bool sent_again;
-        int status; ///< Final status when every further attempt ends the same way.
+        int status; ///< Final status if every further attempt has the same outcome.
     };
     for (auto const& each :
          {row{"/plain/", attempt_end::lost, true, 502}, row{"/plain/", attempt_end::not_sent, true, 503},
@@ -87,7 +87,7 @@
     }
 }
 
-TEST_CASE("dispatcher: a non-idempotent request that ran never gets a status that promises it did not")
+TEST_CASE("dispatcher: a non-idempotent request that ran never gets a status that says it did not run")
 {
     for (int const status : {503, 429, 408, 421}) {
         dispatcher_fixture fleet;
@@ -98,7 +98,7 @@
     }
 }
 
-TEST_CASE("dispatcher: a success without signature is no answer of the backend server")
+TEST_CASE("dispatcher: a success without a signature is not accepted as a response of the backend server")
 {
     dispatcher_fixture fleet;
     auto const key = fleet.start("/plain/", "id1");
@@ -111,7 +111,7 @@
     CHECK(fleet.response_to(key).body == "whole");
 }
 
-TEST_CASE("dispatcher: a gathered answer names its parts and what is missing")
+TEST_CASE("dispatcher: a merged response lists its signatures and the number of missing shards")
 {
     dispatcher_fixture fleet;
     auto const key = fleet.start("/gather/", "id1");
@@ -119,7 +119,7 @@
     for (std::size_t i = 0; i < 3; ++i)
         fleet.respond(i, 200, std::string(16, static_cast<char>('a' + i)));
     CHECK_FALSE(fleet.has_response(key));
-    SUBCASE("whole")
+    SUBCASE("complete")
     {
         fleet.respond(3, 200, std::string(16, 'z'));
         auto const& answer = fleet.response_to(key);
@@ -128,14 +128,14 @@
         CHECK(answer.body == std::string(16, 'z') + std::string(16, 'c'));
         CHECK(answer.header("parts") == "sig-0, sig-1, sig-2, sig-3");
     }
-    SUBCASE("at its time a sufficient answer goes out")
+    SUBCASE("a response with sufficient coverage is sent in time for the goal")
     {
         fleet.advance(188ms);
         CHECK_FALSE(fleet.has_response(key));
         fleet.advance(2ms); // goal 200 ms, margin 11 ms
         CHECK(fleet.response_to(key).header("missing") == "1");
     }
-    SUBCASE("a shard that fails for good does not hold up the others")
+    SUBCASE("a shard that fails for good does not delay the response")
     {
         for (std::size_t i = 3; i < fleet.sent.size() && i < 20; ++i) {
             fleet.finish_attempt(i, attempt_end::not_sent);
@@ -145,7 +145,7 @@
     }
 }
 
-TEST_CASE("dispatcher: a query that cannot reach its coverage any more fails at once")
+TEST_CASE("dispatcher: a query that can no longer reach its coverage fails immediately")
 {
     dispatcher_fixture fleet;
     auto const key = fleet.start("/gather/", "id1");
@@ -155,7 +155,7 @@
     CHECK(fleet.now < fleet.start_time + 100ms);
 }
 
-TEST_CASE("dispatcher: without a backend server a query is refused on arrival")
+TEST_CASE("dispatcher: a query whose shards have no backend servers is rejected on arrival")
 {
     dispatcher_fixture fleet;
     for (auto const& id : fleet.registry.ids()) {
@@ -166,7 +166,7 @@
     CHECK(fleet.sent.empty());
 }
 
-TEST_CASE("dispatcher: a slow shard is hedged once, at the other replica, and the loser is let go")
+TEST_CASE("dispatcher: a slow shard is hedged once, to the other replica, and the slower attempt is cancelled")
 {
     dispatcher_fixture fleet;
     auto const key = fleet.start("/gather/", "id1");
@@ -184,7 +184,7 @@
     CHECK(fleet.sent[3].target->load.in_flight() == 0);
 }
 
-TEST_CASE("dispatcher: slow answers from other regions do not make hedges of near shards late")
+TEST_CASE("dispatcher: slow responses from other regions do not delay the hedges of near shards")
 {
     dispatcher_fixture fleet;
     for (char const* replica : {"a", "b"})
@@ -205,7 +205,7 @@
     CHECK(fleet.sent[at + 2].target->entry.service == service_name("g0"));
 }
 
-TEST_CASE("dispatcher: at the deadline the caller gets a final answer")
+TEST_CASE("dispatcher: the caller gets a response at the deadline")
 {
     dispatcher_fixture fleet;
     auto const key = fleet.start("/plain/", "id1", {{"deadline", "300"}});
@@ -215,7 +215,7 @@
     CHECK(fleet.response_to(key).status == 504);
 }
 
-TEST_CASE("dispatcher: when the caller leaves all its work is cancelled")
+TEST_CASE("dispatcher: all attempts are cancelled when the caller disconnects")
 {
     dispatcher_fixture fleet;
     auto const key = fleet.start("/gather/", "id1");
@@ -225,7 +225,7 @@
     CHECK(fleet.requests->open_requests() == 0);
 }
 
-TEST_CASE("dispatcher: parts of a split get their shares exactly")
+TEST_CASE("dispatcher: the services of a traffic split get their exact shares")
 {
     dispatcher_fixture fleet;
     std::map<std::string, int> counts;
@@ -239,7 +239,7 @@
     CHECK(counts["t"] == 25);
 }
 
-TEST_CASE("dispatcher: a request keeps the configuration it began with")
+TEST_CASE("dispatcher: a request keeps the configuration that it started with")
 {
     dispatcher_fixture fleet;
     auto const key = fleet.start("/gather/", "id1");
@@ -252,11 +252,10 @@
     CHECK(fleet.sent.size() == 5);
 }
 
-TEST_CASE("dispatcher: the summary of a request names its second attempts, what they went by, and those denied")
+TEST_CASE("dispatcher: the summary of a request lists its hedges with their inputs, and counts denied hedges")
 {
     dispatcher_options options;
-    options.budget = {0.0, 4.0,
-                      std::chrono::seconds(10)}; // One extra arrival a service: a share of 0.75 of 4 of 3 VMs.
+    options.budget = {0.0, 4.0, std::chrono::seconds(10)}; // One extra attempt per service: 0.75 * 4 / 3 VMs.
     dispatcher_fixture fleet(options);
     fleet.requests->set_vm_count(3);
     for (char const* id : {"id1", "id2"}) {
--- a/tests/test_heavy_window.cpp
+++ b/tests/test_heavy_window.cpp
@@ -1,4 +1,4 @@
-/** @file test_heavy_window.cpp The heaviest seconds of a large index: some shards cannot carry all queries. */
+/** @file test_heavy_window.cpp Overload of some shards: queries that would lack shards are rejected on arrival. */
 #include <cornelspring/emulator.hpp>
 
 #include <doctest/doctest.h>
@@ -7,12 +7,12 @@
 
 namespace {
 
-/** What callers got, over several seeds. */
+/** Outcomes of queries, summed over several seeds. */
 struct window_outcome {
-    double urgent_in_time = 0; ///< Less demanding, urgent queries answered within their goal.
-    double served = 0;         ///< Queries answered at all.
-    double refused = 0;        ///< Callers told that their query has not run.
-    double failed = 0;         ///< Callers told nothing of use.
+    double urgent_in_time = 0; ///< Queries of kind 1 (deadline-check: short goal, lower coverage) within their goal.
+    double served = 0;         ///< Queries with a successful response.
+    double refused = 0;        ///< Queries rejected as not run.
+    double failed = 0;         ///< Queries that failed otherwise.
 };
 
 /** @return the deployment of the example file with @p seed. */
@@ -24,9 +24,7 @@
     return made;
 }
 
-/** @return what callers get over the seeds 1 to 16. @param by_coverage whether admission goes by the shards that
- * decide.
- */
+/** @return the outcomes over the seeds 1 to 16. @param by_coverage whether coverable_share() limits admission. */
 window_outcome play(bool by_coverage)
 {
     window_outcome total;
@@ -46,10 +44,11 @@
 
 } // namespace
 
-TEST_CASE("heavy window: queries that lack shards are refused at once in place of failing, and no fewer are served")
+TEST_CASE(
+    "heavy window: queries that would lack shards are rejected on arrival instead of failing, and no fewer are served")
 {
-    // Measured over seeds 1 to 48, for each run of 747 queries: failed 126 before and 89 after, refused 5 and 36,
-    // served 615 and 623, urgent ones in time 114 and 117 of 186.
+    // Measured over seeds 1 to 48, per run of 747 queries, without and with by_coverage: failed 126 and 89, rejected 5
+    // and 36, served 615 and 623, deadline-check queries within their goal 114 and 117 of 186.
     auto const before = play(false);
     auto const after = play(true);
     CHECK(after.failed < 0.75 * before.failed);
@@ -57,13 +56,13 @@
     CHECK(after.urgent_in_time > before.urgent_in_time);
 }
 
-TEST_CASE("heavy window: crashes and faults at random play the same again")
+TEST_CASE("heavy window: runs with random crashes and faults are reproducible by their seed")
 {
     CHECK(to_json(emulate(slow_shards_at_size(3))) == to_json(emulate(slow_shards_at_size(3))));
     CHECK(to_json(emulate(slow_shards_at_size(3))) != to_json(emulate(slow_shards_at_size(4))));
 }
 
-TEST_CASE("heavy window: at a load that all shards can carry, nobody is refused for coverage")
+TEST_CASE("heavy window: no query is rejected for coverage if all shards can handle the load")
 {
     auto calm = slow_shards_at_size(1);
     calm.faults.clear();
@@ -72,7 +71,7 @@
         CHECK(kind.refused + kind.failed == 0);
 }
 
-TEST_CASE("coverable share: the worst shards may be left out, and the next one decides")
+TEST_CASE("coverable share: the worst shards may be left out, and the next worst one limits the share")
 {
     std::vector<double> shares(20, 1.0);
     CHECK(coverable_share(shares, 18) == 1.0);
@@ -80,11 +79,11 @@
     CHECK(coverable_share(shares, 18) == 1.0);
     shares[7] = 0.4;
     CHECK(coverable_share(shares, 18) == doctest::Approx(0.5));
-    CHECK(coverable_share(shares, 20) == doctest::Approx(0.1)); // Some are let in, to notice that it is well again.
+    CHECK(coverable_share(shares, 20) == doctest::Approx(0.1)); // The minimum share, which detects the recovery.
     CHECK(coverable_share({}, 0) == 1.0);
 }
 
-TEST_CASE("shard outlook: a failure counts for some seconds, many at the same moment for little more than one")
+TEST_CASE("shard outlook: a failure counts for some seconds, and simultaneous failures count little more than one")
 {
     using std::chrono::milliseconds;
     auto const begin = time_point{} + std::chrono::seconds(100);
--- a/tests/test_preconnect.cpp
+++ b/tests/test_preconnect.cpp
@@ -1,4 +1,4 @@
-/** @file test_preconnect.cpp To which backend servers a gateway connects before a request needs it. */
+/** @file test_preconnect.cpp Choice of backend servers to connect to before a request needs it. */
 #include "dispatcher_fixture.hpp"
 
 using namespace cornelspring;
@@ -6,10 +6,10 @@
 
 namespace {
 
-/** A dispatcher's registry in which shard g0 has one more server in another region. */
+/** The dispatcher fixture with one more backend server of shard g0, in another region. */
 struct plan_fixture : dispatcher_fixture {
     plan_fixture() { add_backend("g0", "c", "e"); }
-    /** @return ids of the planned servers, in order. */
+    /** @return the ids of the servers to connect to, in order. */
     std::vector<std::string> planned(std::set<std::string> const& connected = {})
     {
         auto const is_connected = [&](std::shared_ptr<backend_server> const& server) {
@@ -21,26 +21,26 @@
             ids.push_back(server->entry.id.value());
         return ids;
     }
-    /** @return whether @p id is planned. */
+    /** @return whether @p id is one of the servers to connect to. */
     bool plans(std::string const& id)
     {
         auto const ids = planned();
         return std::find(ids.begin(), ids.end(), id) != ids.end();
     }
-    std::mt19937_64 random{1}; ///< Order.
+    std::mt19937_64 random{1}; ///< Random source for the order.
 };
 
 } // namespace
 
-TEST_CASE_FIXTURE(plan_fixture, "connections ahead: all servers of shards that have none, the near ones first")
+TEST_CASE_FIXTURE(plan_fixture, "pre-connect: all servers of shards without a connection, near ones first")
 {
     auto const ids = planned();
-    CHECK(ids.size() == 9); // Two of each of the four shards and the far one; none of the plain services.
+    CHECK(ids.size() == 9); // Two of each of the four shards and the far one; none of the services without a gather.
     CHECK(ids.back() == "g0c");
     CHECK(planned({"g0a", "g1b"}).size() == 7);
 }
 
-TEST_CASE_FIXTURE(plan_fixture, "connections ahead: to the servers that some route over the shards may reach")
+TEST_CASE_FIXTURE(plan_fixture, "pre-connect: only servers that some route over the shards may reach")
 {
     auto const with_homes = [this](int version, region_set const& first, region_set const& second) {
         auto routes = configs.current()->routes();
@@ -59,27 +59,27 @@
     CHECK(planned().size() == 9);
 }
 
-TEST_CASE_FIXTURE(plan_fixture, "connections ahead: none to servers that get no requests")
+TEST_CASE_FIXTURE(plan_fixture, "pre-connect: no servers that get no requests")
 {
     REQUIRE(plans("g0a"));
-    SUBCASE("as one leaves")
+    SUBCASE("because it is draining")
     {
         registry.apply({backend_id("g0a"), service_name("g0"), {"127.0.0.1", 1}, domain_name("d"), 2, true, 0ms}, now);
         CHECK_FALSE(plans("g0a"));
     }
-    SUBCASE("as its failure domain is evacuated")
+    SUBCASE("because its failure domain is evacuated")
     {
         places.evacuated().begin(domain_name("d"));
         CHECK(planned() == std::vector<std::string>{"g0c"});
     }
-    SUBCASE("as it failed just now, until it is tried again")
+    SUBCASE("because it has just failed, until it may be tried again")
     {
         registry.find(backend_id("g0a"))->load.on_stalled(now);
         CHECK_FALSE(plans("g0a"));
         advance(200ms);
         CHECK(plans("g0a"));
     }
-    SUBCASE("as an attempt is under way there")
+    SUBCASE("because an attempt is in flight to it")
     {
         registry.find(backend_id("g0a"))->load.on_sent();
         CHECK_FALSE(plans("g0a"));
