--- a/include/cornelspring/dispatch.hpp
+++ b/include/cornelspring/dispatch.hpp
@@ -33,10 +33,10 @@
  * while the other shards are healthy: half of the shards still respond quickly, so all queries are admitted, and those
  * that fail use capacity that the others need. With this bound, the excess queries are rejected on arrival, before any
  * attempt is sent, with a Retry-After header.
- * @param answered_shares share of recent requests to which each shard responded. @param needed number of shards that a
+ * @param response_rates share of recent requests to which each shard responded. @param needed number of shards that a
  * successful response needs.
  */
-double coverable_share(std::vector<double> answered_shares, std::size_t needed);
+double coverable_share(std::vector<double> response_rates, std::size_t needed);
 
 /**
  * Load shedding for the queries over one set of shards: admits a share of them when the load exceeds what the backend
@@ -54,10 +54,10 @@
      *  @return the decision and its inputs. @param request query. @param draw random number from 0 to 1.
      *  @param now current time. */
     admission_decision admit(admission_request const& request, double draw, time_point now);
-    /** Half of a query's shards have responded. @param begun when the query started. @param now current time. */
-    void on_half_responded(time_point begun, time_point now);
-    /** A query finished before half of its shards had responded. @param begun when the query started. */
-    void on_finished(time_point begun);
+    /** Half of a query's shards have responded. @param started_at when the query started. @param now current time. */
+    void on_half_responded(time_point started_at, time_point now);
+    /** A query finished before half of its shards had responded. @param started_at when the query started. */
+    void on_finished(time_point started_at);
     /** @return whether queries queue at the backend servers, relative to @p goal. @param goal latency goal.
      *  @param now current time. */
     bool congested(milliseconds goal, time_point now) const;
@@ -66,17 +66,17 @@
     /** @return the current wait until half of a query's shards have responded. */
     double wait_ms(time_point now) const;
     /** @return the wait in excess of the usual wait, divided by the time between the usual wait and the goal. */
-    double strain(milliseconds goal, time_point now) const;
+    double queue_load(milliseconds goal, time_point now) const;
     /** @return the share of queries like @p request that is admitted. */
-    double share(admission_request const& request, time_point now);
+    double admitted_share(admission_request const& request, time_point now);
 
     double m_wait_ms = 0;                                        ///< Moving average of the wait.
     double m_usual_ms = std::numeric_limits<double>::infinity(); ///< Usual wait, without a queue.
-    double m_urgent_share = 1;           ///< Admitted share of the queries of highest priority, as last computed.
+    double m_highest_priority_share = 1; ///< Admitted share of the queries of highest priority, as last computed.
     double m_gap_ms = 0;                 ///< Average time between two queries.
-    time_point m_asked_at;               ///< Time of the last query.
-    time_point m_sampled_at;             ///< Time of the last sample of the wait.
-    std::multiset<time_point> m_waiting; ///< Start times of queries waiting for half of their shards.
+    time_point m_last_query_at;          ///< Time of the last query.
+    time_point m_last_sample_at;         ///< Time of the last sample of the wait.
+    std::multiset<time_point> m_pending; ///< Start times of queries waiting for half of their shards.
 };
 
 // ---- Merging records ----
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -13,10 +13,10 @@
 
 bool request_state::may_have_run() const
 {
-    return std::any_of(shards.begin(), shards.end(), [](shard_state const& shard) { return shard.runs > 0; });
+    return std::any_of(shards.begin(), shards.end(), [](shard_state const& shard) { return shard.maybe_run > 0; });
 }
 
-http_response own_answer(int status, std::string const& text)
+http_response local_response(int status, std::string const& text)
 {
     http_response response;
     response.status = status;
@@ -25,80 +25,82 @@
     return response;
 }
 
-void dispatcher::impl::check_finish(request_state& request, time_point now)
+void dispatcher::impl::finish_if_decided(request_state& request, time_point now)
 {
-    if (!open.contains(request.key.value())) return;
+    if (!requests.contains(request.key.value())) return;
     auto const total = request.shards.size();
     if (!request.gathers()) {
         if (request.done == 1) {
-            auto answer = std::move(*request.shards[0].answer);
+            auto response = std::move(*request.shards[0].response);
             // A non-idempotent request that ran must not get a status that says that it did not run.
-            bool const promises = promises_not_run(answer.status);
-            bool const unsigned_success = answer.status / 100 == 2 && answer.header(options.names.signature).empty();
-            if (promises || unsigned_success) answer = own_answer(502, "the backend server failed");
-            remove_hop_by_hop(answer.headers);
-            finish(request.key, std::move(answer), "answered", now);
+            bool const promises = promises_not_run(response.status);
+            bool const unsigned_success =
+                response.status / 100 == 2 && response.header(options.names.signature).empty();
+            if (promises || unsigned_success) response = local_response(502, "the backend server failed");
+            remove_hop_by_hop(response.headers);
+            finish(request.key, std::move(response), "answered", now);
         } else if (request.failed == 1) {
-            finish(request.key, failure_answer(request, false), "failed", now);
+            finish(request.key, failure_response(request, false), "failed", now);
         }
         return;
     }
     bool const sufficient = request.done >= request.needed;
-    if (request.done == total || (sufficient && (request.done + request.failed == total || now >= request.answer_by))) {
-        finish(request.key, merged(request), request.done == total ? "whole" : "partial", now);
+    if (request.done == total ||
+        (sufficient && (request.done + request.failed == total || now >= request.respond_by))) {
+        finish(request.key, merged_response(request), request.done == total ? "whole" : "partial", now);
     } else if (total - request.failed < request.needed) {
-        finish(request.key, failure_answer(request, false), "too_few_shards", now);
+        finish(request.key, failure_response(request, false), "too_few_shards", now);
     }
 }
 
-http_response dispatcher::impl::merged(request_state& request) const
+http_response dispatcher::impl::merged_response(request_state& request) const
 {
     std::vector<std::string_view> bodies;
     std::string signatures;
     for (auto const& shard : request.shards) {
         if (!shard.done) continue;
-        bodies.push_back(shard.answer->body);
+        bodies.push_back(shard.response->body);
         if (!signatures.empty()) signatures += ", ";
-        signatures += shard.answer->header(options.names.signature);
+        signatures += shard.response->header(options.names.signature);
     }
     http_response response;
     response.headers.push_back({options.names.part_signatures, signatures});
     response.headers.push_back({options.names.missing_parts, std::to_string(request.shards.size() - request.done)});
     response.headers.push_back({"content-type", "application/octet-stream"});
-    response.body = merge_records(bodies, request.via->gather->top_k);
+    response.body = merge_records(bodies, request.matched_route->gather->top_k);
     return response;
 }
 
-http_response dispatcher::impl::failure_answer(request_state& request, bool timed_out)
+http_response dispatcher::impl::failure_response(request_state& request, bool timed_out)
 {
-    if (!request.may_have_run()) return refusal("no backend server could take the request", options.retry_after_s);
-    if (timed_out) return own_answer(504, "the deadline passed");
-    if (!request.gathers() && request.shards[0].answer) {
-        auto answer = std::move(*request.shards[0].answer);
-        bool const promises = promises_not_run(answer.status);
-        if (!promises && answer.status / 100 != 2) {
-            remove_hop_by_hop(answer.headers);
-            return answer;
+    if (!request.may_have_run()) return rejection("no backend server could take the request", options.retry_after_s);
+    if (timed_out) return local_response(504, "the deadline passed");
+    if (!request.gathers() && request.shards[0].response) {
+        auto response = std::move(*request.shards[0].response);
+        bool const promises = promises_not_run(response.status);
+        if (!promises && response.status / 100 != 2) {
+            remove_hop_by_hop(response.headers);
+            return response;
         }
     }
-    return own_answer(502, "the backend servers failed");
+    return local_response(502, "the backend servers failed");
 }
 
 void dispatcher::impl::finish(request_key key, http_response response, char const* reason, time_point now)
 {
-    auto const found = open.find(key.value());
-    if (found == open.end()) return;
+    auto const found = requests.find(key.value());
+    if (found == requests.end()) return;
     auto* request = found->second.get();
-    ended.push_back(std::move(found->second));
-    open.erase(found);
+    finished.push_back(std::move(found->second));
+    requests.erase(found);
     due.erase({request->due, key.value()});
-    bool const observe = request->via->kind == route_kind::idempotent && !queued(*request, now);
+    bool const observe = request->matched_route->kind == route_kind::idempotent && !congested(*request, now);
     leave_admission(*request);
     for (auto& shard : request->shards) {
-        for (auto const id : shard.open)
-            release(id, observe, now);
+        for (auto const id : shard.in_flight)
+            release_attempt(id, observe, now);
     }
-    draw_conclusions(*request, now);
+    update_quarantine(*request, now);
     request->summary.status = response.status;
     request->summary.reason = reason;
     hooks.respond(key, std::move(response));
@@ -109,14 +111,14 @@
 {
     auto& summary = request.summary;
     summary.shards_answered = request.done;
-    summary.duration = std::chrono::duration_cast<std::chrono::microseconds>(now - request.arrived);
-    if (summary.disconnects > 0) look_at(request);
+    summary.duration = std::chrono::duration_cast<std::chrono::microseconds>(now - request.arrived_at);
+    if (summary.disconnects > 0) set_digest(request);
     hooks.on_finished(summary);
 }
 
 // ---- Timers ----
 
-void dispatcher::impl::arm(request_state& request, time_point when)
+void dispatcher::impl::schedule(request_state& request, time_point when)
 {
     if (when >= request.due) return;
     due.erase({request.due, request.key.value()});
@@ -124,33 +126,33 @@
     due.emplace(when, request.key.value());
 }
 
-void dispatcher::impl::rearm(request_state& request, time_point now)
+void dispatcher::impl::schedule_next(request_state& request, time_point now)
 {
-    if (!open.contains(request.key.value())) return;
-    arm(request, request.deadline);
-    if (request.gathers() && request.answer_by > now) arm(request, request.answer_by);
+    if (!requests.contains(request.key.value())) return;
+    schedule(request, request.deadline);
+    if (request.gathers() && request.respond_by > now) schedule(request, request.respond_by);
     for (auto const& shard : request.shards)
-        arm(request, std::min(shard.hedge_at, shard.retry_at));
+        schedule(request, std::min(shard.hedge_at, shard.retry_at));
 }
 
 void dispatcher::impl::on_due(request_state& request, time_point now)
 {
     auto const key = request.key.value();
     if (now >= request.deadline) {
-        finish(request.key, failure_answer(request, true), "deadline", now);
+        finish(request.key, failure_response(request, true), "deadline", now);
         return;
     }
-    check_finish(request, now);
-    for (std::size_t i = 0; i < request.shards.size() && open.contains(key); ++i) {
+    finish_if_decided(request, now);
+    for (std::size_t i = 0; i < request.shards.size() && requests.contains(key); ++i) {
         auto& shard = request.shards[i];
         if (shard.retry_at <= now)
             retry(request, i, now);
-        else if (shard.hedge_at <= now && shard.open.empty())
+        else if (shard.hedge_at <= now && shard.in_flight.empty())
             shard.hedge_at = time_point::max();
         else if (shard.hedge_at <= now && !postpone_hedge(shard, now))
             hedge(request, i, now);
     }
-    rearm(request, now);
+    schedule_next(request, now);
 }
 
 void dispatcher::impl::on_timer(time_point now)
@@ -158,15 +160,15 @@
     while (!due.empty() && due.begin()->first <= now) {
         auto const key = due.begin()->second;
         due.erase(due.begin());
-        auto const found = open.find(key);
-        if (found == open.end()) continue;
+        auto const found = requests.find(key);
+        if (found == requests.end()) continue;
         found->second->due = time_point::max();
         on_due(*found->second, now);
     }
     while (!observed.empty() && observed.front().first <= now) {
         auto const id = observed.front().second;
         observed.pop_front();
-        release(id, false, now);
+        release_attempt(id, false, now);
     }
 }
 
@@ -184,37 +186,37 @@
 void dispatcher::start(request_key key, http_request message, request_timing timing, caller_address caller,
                        time_point now)
 {
-    m_impl->ended.clear();
+    m_impl->finished.clear();
     m_impl->start(key, std::move(message), timing, std::move(caller), now);
 }
 
 void dispatcher::on_caller_disconnected(request_key key, time_point now)
 {
-    auto const found = m_impl->open.find(key.value());
-    if (found == m_impl->open.end()) return;
+    auto const found = m_impl->requests.find(key.value());
+    if (found == m_impl->requests.end()) return;
     auto const request = std::move(found->second);
-    m_impl->ended.clear();
-    m_impl->open.erase(found);
+    m_impl->finished.clear();
+    m_impl->requests.erase(found);
     m_impl->due.erase({request->due, key.value()});
     m_impl->leave_admission(*request);
     for (auto& shard : request->shards) {
-        for (auto const id : shard.open)
-            m_impl->release(id, false, now);
+        for (auto const id : shard.in_flight)
+            m_impl->release_attempt(id, false, now);
     }
-    m_impl->draw_conclusions(*request, now);
+    m_impl->update_quarantine(*request, now);
     request->summary.reason = "caller_gone";
     m_impl->report(*request, now);
 }
 
 void dispatcher::on_result(attempt_id id, attempt_result result, time_point now)
 {
-    m_impl->ended.clear();
+    m_impl->finished.clear();
     m_impl->on_result(id, std::move(result), now);
 }
 
 void dispatcher::on_timer(time_point now)
 {
-    m_impl->ended.clear();
+    m_impl->finished.clear();
     m_impl->on_timer(now);
 }
 
@@ -228,19 +230,19 @@
     return next;
 }
 
-std::size_t dispatcher::open_requests() const { return m_impl->open.size(); }
+std::size_t dispatcher::open_requests() const { return m_impl->requests.size(); }
 
 void dispatcher::set_vm_count(std::size_t vms) { m_impl->vms = std::max<std::size_t>(vms, 1); }
 
 void dispatcher::finish_all(time_point now)
 {
     std::vector<request_key> keys;
-    for (auto const& [key, request] : m_impl->open)
+    for (auto const& [key, request] : m_impl->requests)
         keys.emplace_back(key);
     for (auto const key : keys) {
-        auto const found = m_impl->open.find(key.value());
-        if (found == m_impl->open.end()) continue;
-        m_impl->finish(key, m_impl->failure_answer(*found->second, true), "stopping", now);
+        auto const found = m_impl->requests.find(key.value());
+        if (found == m_impl->requests.end()) continue;
+        m_impl->finish(key, m_impl->failure_response(*found->second, true), "stopping", now);
     }
 }
 
--- a/src/dispatch/dispatcher_arrival.cpp
+++ b/src/dispatch/dispatcher_arrival.cpp
@@ -12,26 +12,26 @@
  * Minimum Retry-After in seconds while there is no configuration. A starting process usually receives it within this
  * time, and callers with one retry left and less than a second must not retry too late.
  */
-constexpr double starting_retry_after_s = 0.1;
+constexpr double no_config_min_retry_after_s = 0.1;
 
 /** Upper limit of this minimum, in seconds, so that callers with a time-out of 10 s retry within a second after the
  *  configuration has become available again. */
-constexpr double starting_retry_after_most_s = 1.0;
+constexpr double no_config_max_retry_after_s = 1.0;
 
 /** Window of recent deadlines in the requests of a route. It gives a quantile from the first sample on and recomputes
  *  it for each sample. Otherwise a VM with one query per second would use its first caller's value for many seconds. */
 constexpr duration_window::sizes deadline_window{256, 1, 1};
 /** Minimum number of requests to estimate the total time that callers of a route wait. With fewer, the longest deadline
  *  counts, or the route's timeout if it is only a little longer. */
-constexpr std::size_t deadline_samples = 32;
+constexpr std::size_t min_deadline_samples = 32;
 /** The route's timeout counts if it is longer by less than this share of the goal, which is about the time that callers
  *  spend on looking up an address. */
-constexpr double configured_near_share = 0.5;
+constexpr double near_timeout_share = 0.5;
 /** Quantile of the recent deadlines that is used as the total time that callers wait. Most requests have all of it
  *  left. Callers with a longer deadline do not count if they send fewer than one in twenty requests. */
-constexpr double full_deadline_quantile = 0.95;
+constexpr double full_caller_time_quantile = 0.95;
 /** A request counts as a caller's retry if more than this share of the caller's time is spent. */
-constexpr double returning_share = 0.03;
+constexpr double retried_share = 0.03;
 
 } // namespace
 
@@ -51,13 +51,14 @@
     summary.request_id = message.header(options.names.request_id);
     summary.caller = std::move(caller);
     if (!config) {
-        answer_at_once(key, summary, refusal("no configuration is known yet", starting_wait_s(now)), "starting");
+        respond_immediately(key, summary, rejection("no configuration is known yet", no_config_retry_after_s(now)),
+                            "starting");
         return;
     }
     summary.version = config->version();
     auto const* via = config->match(message.header("host"), message.path);
     if (via == nullptr) {
-        answer_at_once(key, summary, own_answer(404, "no route matches host and path"), "no_route");
+        respond_immediately(key, summary, local_response(404, "no route matches host and path"), "no_route");
         return;
     }
     auto made = std::make_unique<request_state>();
@@ -65,54 +66,55 @@
     request.key = key;
     request.message = std::move(message);
     request.config = config;
-    request.via = via;
-    request.arrived = now;
+    request.matched_route = via;
+    request.arrived_at = now;
     request.summary = summary;
     request.summary.route_name = via->name;
     request.latencies = &latencies[via->name];
     if (!set_deadline(request, timing)) {
-        answer_at_once(key, request.summary, refusal("too little time is left", options.retry_after_s), "no_time");
+        respond_immediately(key, request.summary, rejection("too little time is left", options.retry_after_s),
+                            "no_time");
         return;
     }
-    auto const standing = look_up(request, now);
-    if (standing == request_standing::quarantined) {
-        answer_at_once(key, request.summary, quarantine_refusal(request, now), "quarantined");
+    auto const quarantine_state = check_quarantine(request, now);
+    if (quarantine_state == request_standing::quarantined) {
+        respond_immediately(key, request.summary, quarantine_rejection(request, now), "quarantined");
         return;
     }
-    bool const suspect = standing == request_standing::suspect;
+    bool const suspect = quarantine_state == request_standing::suspect;
     if (suspect && quarantine.on_trial(request.summary.digest)) {
         auto const text = "this request is being tried at one backend server, after others crashed";
-        answer_at_once(key, request.summary, refusal(text, options.retry_after_s), "on_trial");
+        respond_immediately(key, request.summary, rejection(text, options.retry_after_s), "on_trial");
         return;
     }
     add_shards(request, now);
     if (double const wait = blocked_wait_s(request, now); wait > 0) {
         auto const& summary = request.summary;
-        bool const for_place = summary.no_home + summary.evacuated + summary.cold > 0;
-        auto const* text =
-            for_place ? "too few backend servers may serve it where they are" : "too few backend servers have room";
-        answer_at_once(key, summary, refusal(text, wait), for_place ? "no_place" : "no_room");
+        bool const placement_refused = summary.no_home + summary.evacuated + summary.cold > 0;
+        auto const* text = placement_refused ? "too few backend servers may serve it where they are"
+                                             : "too few backend servers have room";
+        respond_immediately(key, summary, rejection(text, wait), placement_refused ? "no_place" : "no_room");
         return;
     }
     if (options.admission && !admitted(request, now)) {
-        answer_at_once(key, request.summary, return_later(request), "overloaded");
+        respond_immediately(key, request.summary, overload_response(request), "overloaded");
         return;
     }
     request.head_bytes = head_bytes(request);
-    if (suspect) begin_trial(request);
-    open.emplace(key.value(), std::move(made));
-    first_attempts(request, now);
-    rearm(request, now);
-    check_finish(request, now);
+    if (suspect) start_trial(request);
+    requests.emplace(key.value(), std::move(made));
+    send_first_attempts(request, now);
+    schedule_next(request, now);
+    finish_if_decided(request, now);
 }
 
 /** The state without a configuration is expected to last as long again as it has lasted so far. After a power cut the
  *  store may be unreachable for seconds, and callers have only one retry left. */
-double dispatcher::impl::starting_wait_s(time_point now)
+double dispatcher::impl::no_config_retry_after_s(time_point now)
 {
     if (!unconfigured_since) unconfigured_since = now;
     auto const lasted_s = std::chrono::duration<double>(now - *unconfigured_since).count();
-    return std::clamp(lasted_s, starting_retry_after_s, starting_retry_after_most_s);
+    return std::clamp(lasted_s, no_config_min_retry_after_s, no_config_max_retry_after_s);
 }
 
 /**
@@ -122,24 +124,26 @@
  */
 bool dispatcher::impl::set_deadline(request_state& request, request_timing timing)
 {
-    auto left = request.via->timeout;
-    if (auto const asked = parse_ms(request.message.header(options.names.deadline))) {
-        left = std::min(left, *asked);
-        auto const full = full_deadline(request, *asked);
-        request.gone = full - *asked;
-        request.returning =
-            static_cast<double>(request.gone.count()) > returning_share * static_cast<double>(full.count());
+    auto left = request.matched_route->timeout;
+    if (auto const remaining = parse_ms(request.message.header(options.names.deadline))) {
+        left = std::min(left, *remaining);
+        auto const full = full_caller_time(request, *remaining);
+        request.caller_time_spent = full - *remaining;
+        request.retried =
+            static_cast<double>(request.caller_time_spent.count()) > retried_share * static_cast<double>(full.count());
     }
-    request.deadline = request.arrived - timing.max_unread + left - deadline_margin;
-    auto spent = options.caller_time ? request.gone + timing.round_trip : clock::duration(0);
+    request.deadline = request.arrived_at - timing.max_unread + left - deadline_margin;
+    auto spent = options.caller_time ? request.caller_time_spent + timing.round_trip : clock::duration(0);
     // The goal cannot be met any more, or the caller only has a shorter time-out than others.
     clock::duration const fixed = options.answer_margin;
-    auto const of_goal = std::chrono::duration_cast<clock::duration>(options.answer_margin_share * request.via->goal);
+    auto const of_goal =
+        std::chrono::duration_cast<clock::duration>(options.answer_margin_share * request.matched_route->goal);
     auto const margin = std::max(fixed, of_goal);
-    if (spent + margin >= request.via->goal) spent = clock::duration(0);
-    request.answer_by = options.early_answer ? request.arrived + request.via->goal - margin - spent : request.deadline;
+    if (spent + margin >= request.matched_route->goal) spent = clock::duration(0);
+    request.respond_by =
+        options.early_answer ? request.arrived_at + request.matched_route->goal - margin - spent : request.deadline;
     request.summary.caller_time_spent = std::chrono::duration_cast<milliseconds>(spent);
-    return request.deadline > request.arrived;
+    return request.deadline > request.arrived_at;
 }
 
 /**
@@ -150,21 +154,21 @@
  * the others do not change the result. In the first seconds all callers have just looked up an address, so no request
  * shows the full time-out; therefore the route's timeout is used, which operators set to the time-out of its callers.
  */
-milliseconds dispatcher::impl::full_deadline(request_state const& request, milliseconds asked)
+milliseconds dispatcher::impl::full_caller_time(request_state const& request, milliseconds remaining)
 {
-    auto& recent = deadlines.try_emplace(request.via->name, deadline_window).first->second;
-    recent.add(asked);
-    bool const few = recent.count() < deadline_samples;
-    auto const usual = recent.quantile(few ? 1.0 : full_deadline_quantile);
-    auto const seen = usual ? std::max(std::chrono::duration_cast<milliseconds>(*usual), asked) : asked;
+    auto& recent = caller_deadlines.try_emplace(request.matched_route->name, deadline_window).first->second;
+    recent.add(remaining);
+    bool const few = recent.count() < min_deadline_samples;
+    auto const usual = recent.quantile(few ? 1.0 : full_caller_time_quantile);
+    auto const seen = usual ? std::max(std::chrono::duration_cast<milliseconds>(*usual), remaining) : remaining;
     if (!few) return seen;
-    auto const configured = request.via->timeout;
-    bool const near = configured - seen < configured_near_share * request.via->goal;
+    auto const configured = request.matched_route->timeout;
+    bool const near = configured - seen < near_timeout_share * request.matched_route->goal;
     return near ? std::max(configured, seen) : seen;
 }
 
 /** Smooth weighted round robin: the shares match the weights exactly, even over few requests. */
-service_name const& dispatcher::impl::choose_part(route const& via)
+service_name const& dispatcher::impl::choose_split_service(route const& via)
 {
     auto& credit = split_credit[via.name];
     credit.resize(via.split.size(), 0);
@@ -191,9 +195,9 @@
         request.shards.push_back(std::move(shard));
     };
     if (!request.gathers()) {
-        add(choose_part(*request.via));
+        add(choose_split_service(*request.matched_route));
     } else {
-        auto const& gather = *request.via->gather;
+        auto const& gather = *request.matched_route->gather;
         request.shards.reserve(gather.shards.size());
         for (auto const& service : gather.shards)
             add(service);
@@ -222,10 +226,10 @@
 
 selection_scope dispatcher::impl::scope(request_state const& request, shard_state const& shard) const
 {
-    return {options.selection, places, {request.via->homes, *shard.warmup}};
+    return {options.selection, places, {request.matched_route->homes, *shard.warmup}};
 }
 
-void dispatcher::impl::note_miss(request_summary& summary, selection_miss miss)
+void dispatcher::impl::count_miss(request_summary& summary, selection_miss miss)
 {
     if (miss == selection_miss::away) ++summary.no_home;
     if (miss == selection_miss::evacuated) ++summary.evacuated;
@@ -245,27 +249,28 @@
     for (auto const& shard : request.shards) {
         auto const miss = why_no_work(*shard.group, scope(request, shard), now);
         if (miss != selection_miss::none) {
-            note_miss(request.summary, miss);
+            count_miss(request.summary, miss);
             ++blocked;
             continue;
         }
         auto const ahead = static_cast<double>(shard.group->waiting.size());
         if (ahead == 0) continue;
-        double const lanes = std::max(1.0, static_cast<double>(shard.group->backends.size()) * room(request, shard));
+        double const lanes =
+            std::max(1.0, static_cast<double>(shard.group->backends.size()) * connection_limit(request, shard));
         double const wait_s = ahead * shard.group->usual_latency_ms / lanes / 1000.0;
         longest = std::max(longest, wait_s);
-        if (wait_s > std::chrono::duration<double>(request.via->goal).count()) ++blocked;
+        if (wait_s > std::chrono::duration<double>(request.matched_route->goal).count()) ++blocked;
     }
     return blocked > request.shards.size() - request.needed ? longest : 0;
 }
 
 double dispatcher::impl::coverable(request_state const& request, time_point now)
 {
-    std::vector<double> answered_shares;
-    answered_shares.reserve(request.shards.size());
+    std::vector<double> response_rates;
+    response_rates.reserve(request.shards.size());
     for (auto const& shard : request.shards)
-        answered_shares.push_back(shard.group->outlook.answered_share(now));
-    return coverable_share(std::move(answered_shares), request.needed);
+        response_rates.push_back(shard.group->outlook.answered_share(now));
+    return coverable_share(std::move(response_rates), request.needed);
 }
 
 /** Checks admission among the queries over the same shards. */
@@ -274,14 +279,14 @@
     if (!request.gathers()) return true;
     auto const& first = *request.shards.front().group;
     auto& control = admissions[first.name.value()];
-    admission_request asked;
-    asked.goal = request.via->goal;
-    asked.started_at = request.arrived;
-    asked.retried = options.retries_last && request.returning;
-    if (options.by_coverage) asked.max_share = coverable(request, now);
-    request.summary.coverable_share = asked.max_share;
-    asked.highest_priority = !options.by_priority || request.via->most_urgent;
-    auto const decision = control.admit(asked, std::uniform_real_distribution<double>(0, 1)(random), now);
+    admission_request query;
+    query.goal = request.matched_route->goal;
+    query.started_at = request.arrived_at;
+    query.retried = options.retries_last && request.retried;
+    if (options.by_coverage) query.max_share = coverable(request, now);
+    request.summary.coverable_share = query.max_share;
+    query.highest_priority = !options.by_priority || request.matched_route->most_urgent;
+    auto const decision = control.admit(query, std::uniform_real_distribution<double>(0, 1)(random), now);
     request.summary.admission_wait_ms = decision.wait_ms;
     request.summary.admitted_share = decision.share;
     if (!decision.admitted) return false;
@@ -292,15 +297,15 @@
 void dispatcher::impl::leave_admission(request_state& request)
 {
     if (request.admission == nullptr) return;
-    if (!request.half_answered) request.admission->on_finished(request.arrived);
+    if (!request.half_responded) request.admission->on_finished(request.arrived_at);
     request.admission = nullptr;
 }
 
 /** The Retry-After is random, so that the retries spread evenly over the time in which callers can retry. */
-http_response dispatcher::impl::return_later(request_state const& request)
+http_response dispatcher::impl::overload_response(request_state const& request)
 {
-    auto const left_s = std::chrono::duration<double>(request.deadline - request.arrived).count();
-    auto response = own_answer(503, "too many requests are open");
+    auto const left_s = std::chrono::duration<double>(request.deadline - request.arrived_at).count();
+    auto response = local_response(503, "too many requests are open");
     std::uniform_real_distribution<double> share(options.overload_retry_min, options.overload_retry_max);
     response.headers.push_back({"retry-after", std::to_string(std::round(share(random) * left_s * 1000) / 1000)});
     return response;
--- a/src/dispatch/dispatcher_impl.hpp
+++ b/src/dispatch/dispatcher_impl.hpp
@@ -11,7 +11,7 @@
 /** @return the milliseconds that @p text gives as a decimal number, or nothing if it is none. @param text text. */
 std::optional<milliseconds> parse_ms(std::string const& text);
 /** @return a response made by this gateway. @param status HTTP status. @param text one line of text for its body. */
-http_response own_answer(int status, std::string const& text);
+http_response local_response(int status, std::string const& text);
 
 /** State of the dispatcher. */
 struct dispatcher::impl {
@@ -19,23 +19,23 @@
     config_holder const& configs;                 ///< Configuration in force.
     backend_registry& registry;                   ///< Backend servers.
     place_rules const& places;                    ///< Placement rules.
-    recent_answers answered;                      ///< Requests known not to crash backend servers.
+    recent_answers safe_requests;                 ///< Requests known not to crash backend servers.
     request_quarantine& quarantine;               ///< Requests that crash backend servers.
     dispatcher_hooks hooks;                       ///< Callbacks.
     std::mt19937_64 random;                       ///< Tie breaks and jitter.
     std::size_t vms = 1;                          ///< Number of VMs that share retry budgets and connections.
     std::optional<time_point> unconfigured_since; ///< Time of the first request without a configuration.
     std::uint64_t last_attempt = 0;               ///< Last attempt id used.
-    std::unordered_map<std::uint64_t, std::unique_ptr<request_state>> open; ///< Open requests by key.
-    std::unordered_map<std::uint64_t, open_attempt> attempts;               ///< Attempts in flight by id.
-    std::set<std::pair<time_point, std::uint64_t>> due;                     ///< Timers of requests, by time.
+    std::unordered_map<std::uint64_t, std::unique_ptr<request_state>> requests; ///< Open requests by key.
+    std::unordered_map<std::uint64_t, open_attempt> attempts;                   ///< Attempts in flight by id.
+    std::set<std::pair<time_point, std::uint64_t>> due;                         ///< Timers of requests, by time.
     std::deque<std::pair<time_point, attempt_id>> observed;  ///< Attempts that run on for measurement, by cancel time.
     std::map<std::string, admission_control> admissions;     ///< Admission control by the first shard of a gather.
-    std::map<std::string, duration_window> deadlines;        ///< Recent deadlines in callers' requests, by route name.
+    std::map<std::string, duration_window> caller_deadlines; ///< Recent deadlines in callers' requests, by route name.
     std::map<std::string, route_latencies> latencies;        ///< Recent shard latencies by route name.
     std::map<std::string, std::vector<double>> split_credit; ///< Weighted round robin, by route name.
     /** Requests that finished during the current public call. Callers up the stack may still refer to them. */
-    std::vector<std::unique_ptr<request_state>> ended;
+    std::vector<std::unique_ptr<request_state>> finished;
 
     impl(dispatcher_options o, config_holder const& c, backend_registry& r, place_rules const& p, request_quarantine& q,
          dispatcher_hooks h, std::uint64_t seed)
@@ -43,23 +43,23 @@
     {
     }
 
-    /** @return a random Retry-After value between @p least and twice @p least seconds. */
-    std::string retry_after(double least)
+    /** @return a random Retry-After value between @p min_s and twice @p min_s seconds. */
+    std::string retry_after(double min_s)
     {
-        double const spread = std::uniform_real_distribution<double>(least, 2 * least)(random);
+        double const spread = std::uniform_real_distribution<double>(min_s, 2 * min_s)(random);
         return std::to_string(std::round(spread * 1000) / 1000);
     }
 
     /** @return the response that rejects a request that has not run. */
-    http_response refusal(std::string const& text, double least_s)
+    http_response rejection(std::string const& text, double min_s)
     {
-        auto response = own_answer(503, text);
-        response.headers.push_back({"retry-after", retry_after(least_s)});
+        auto response = local_response(503, text);
+        response.headers.push_back({"retry-after", retry_after(min_s)});
         return response;
     }
 
     /** Sends the response to a request that is not processed any further. */
-    void answer_at_once(request_key key, request_summary summary, http_response response, char const* reason)
+    void respond_immediately(request_key key, request_summary summary, http_response response, char const* reason)
     {
         summary.status = response.status;
         summary.reason = reason;
@@ -70,9 +70,9 @@
     /** Handles a request: finds its route, sets deadline and shards, checks admission, sends the first attempts. */
     void start(request_key key, http_request message, request_timing timing, caller_address caller, time_point now);
     /** @return the minimum Retry-After in seconds while there is no configuration. */
-    double starting_wait_s(time_point now);
+    double no_config_retry_after_s(time_point now);
     /** @return the service of a traffic split that the next request goes to. */
-    service_name const& choose_part(route const& via);
+    service_name const& choose_split_service(route const& via);
     /** Sets the deadline and the time of the response. @return whether enough time is left to start. */
     bool set_deadline(request_state& request, request_timing timing);
     /** Creates the shards of a request and counts it for their retry budgets. */
@@ -84,70 +84,71 @@
     /** @return the inputs for the choice of a backend server. */
     selection_scope scope(request_state const& request, shard_state const& shard) const;
     /** Counts a failed choice of a backend server in the summary, by cause. */
-    static void note_miss(request_summary& summary, selection_miss miss);
+    static void count_miss(request_summary& summary, selection_miss miss);
     /** @return coverable_share() for the shards of the request. */
     static double coverable(request_state const& request, time_point now);
     /** @return whether admission control lets a query start. */
     bool admitted(request_state& request, time_point now);
-    /** @return the usual total time that callers of the request's route wait. @param asked deadline of this request. */
-    milliseconds full_deadline(request_state const& request, milliseconds asked);
+    /** @return the usual total time that callers of the request's route wait. @param remaining deadline of this
+     * request. */
+    milliseconds full_caller_time(request_state const& request, milliseconds remaining);
     /** Removes a query from admission control. */
     void leave_admission(request_state& request);
     /** @return the response that rejects a request for overload, with a Retry-After. */
-    http_response return_later(request_state const& request);
+    http_response overload_response(request_state const& request);
 
     /** Sets the digest of a request, for the quarantine and the log. */
-    static void look_at(request_state& request);
+    static void set_digest(request_state& request);
     /** @return whether an arriving request is clear, a suspect or quarantined. */
-    request_standing look_up(request_state& request, time_point now);
+    request_standing check_quarantine(request_state& request, time_point now);
     /** @return the response that rejects a quarantined request, with the remaining quarantine time as Retry-After. */
-    http_response quarantine_refusal(request_state const& request, time_point now) const;
+    http_response quarantine_rejection(request_state const& request, time_point now) const;
     /** Starts the trial of a suspect: its attempts are sent one at a time. */
-    void begin_trial(request_state& request);
+    void start_trial(request_state& request);
     /** Sends the first attempt of every shard, or of only one shard if attempts are sent one at a time. */
-    void first_attempts(request_state& request, time_point now);
+    void send_first_attempts(request_state& request, time_point now);
     /** A backend server closed the connection of an attempt. @return false if that finished the request. */
     bool on_disconnect(request_state& request, time_point now);
     /** @return whether attempts are sent one at a time and one is in flight or about to be sent. */
-    static bool waits_for_others(request_state const& request);
+    static bool waits_for_other_attempts(request_state const& request);
     /** Stops sending until a backend server sends a usable response or all attempts have finished. In the second case
      *  the next attempts are sent one at a time. */
-    void become_cautious(request_state& request);
+    void switch_to_sequential(request_state& request);
     /** Cancels the attempts of all shards that may be sent again, and holds these shards. */
-    void hold_all(request_state& request, time_point now);
+    void cancel_and_hold(request_state& request, time_point now);
     /** Sends the next attempt of a shard that was held. */
     void send_shard(request_state& request, std::size_t index, time_point now);
     /** Sends the next attempt of a request whose attempts are sent one at a time, if none is in flight. */
-    void next_cautious(request_state& request, time_point now);
+    void send_next_sequential(request_state& request, time_point now);
     /** A backend server sent a usable response, so the request does not crash every server. @return whether shards
-     *  may be held, so that send_held() is needed. */
-    bool on_survived(request_state& request, time_point now);
+     *  may be held, so that send_held_shards() is needed. */
+    bool on_usable_response(request_state& request, time_point now);
     /** Sends the held shards of a request, once attempts may be sent in parallel again. */
-    void send_held(request_state& request, time_point now);
+    void send_held_shards(request_state& request, time_point now);
     /** Updates the quarantine with the outcome of a finished request. */
-    void draw_conclusions(request_state& request, time_point now);
+    void update_quarantine(request_state& request, time_point now);
 
     /** @return the maximum number of attempts in flight from this VM at one backend server of the shard. */
-    int room(request_state const& request, shard_state const& shard) const;
+    int connection_limit(request_state const& request, shard_state const& shard) const;
     /** @return the delay after which an attempt at a backend server at distance @p where is hedged. */
     milliseconds hedge_delay(request_state const& request, proximity where) const;
     /** Schedules the hedge of an attempt in flight at a backend server at distance @p where. */
-    void plan_hedge(request_state const& request, shard_state& shard, proximity where, time_point now) const;
+    void schedule_hedge(request_state const& request, shard_state& shard, proximity where, time_point now) const;
     /** Chooses a backend server and sends an attempt. @return the reason if none was sent. */
     selection_miss send(request_state& request, std::size_t index, attempt_reason reason, time_point now);
     /** Sends an attempt to a chosen backend server. */
     void submit(request_state& request, std::size_t index, selection const& chosen, attempt_reason reason,
                 time_point now);
     /** Adds a hedge or retry to the summary, with the inputs of its choice and the remaining retry budget. */
-    void note_extra(request_state& request, service_group& group, selection const& chosen, attempt_reason reason,
-                    time_point now);
+    void record_extra_attempt(request_state& request, service_group& group, selection const& chosen,
+                              attempt_reason reason, time_point now);
     /** Sends the first attempt of a shard, or queues it if there is no free connection. */
-    void first_attempt(request_state& request, std::size_t index, time_point now);
+    void send_first_attempt(request_state& request, std::size_t index, time_point now);
     /** @return whether the backend servers of the request's shards are congested. */
-    bool queued(request_state const& request, time_point now) const;
+    bool congested(request_state const& request, time_point now) const;
     /** @return whether a hedge to @p other is worth the load that it adds. */
-    bool hedge_gains(request_state const& request, shard_state const& shard, selection const& other,
-                     time_point now) const;
+    bool hedge_worthwhile(request_state const& request, shard_state const& shard, selection const& other,
+                          time_point now) const;
     /** @return whether a hedge that is due late was postponed until the responses received meanwhile are read. */
     bool postpone_hedge(shard_state& shard, time_point now) const;
     /** Sends a hedge for a slow shard, if the retry budget allows it and another replica is available. */
@@ -155,41 +156,41 @@
     /** Sends a retry for a shard whose attempts have all failed, or fails the shard. */
     void retry(request_state& request, std::size_t index, time_point now);
     /** Adds a shard to the queue of its service. */
-    void wait_for_room(request_state& request, std::size_t index);
+    void enqueue_shard(request_state& request, std::size_t index);
     /** Sends the queued shards of a service while it has free connections. */
-    void pump(service_group& group, time_point now);
+    void send_queued(service_group& group, time_point now);
 
     /** Handles the result of an attempt. */
     void on_result(attempt_id id, attempt_result result, time_point now);
     /** Updates the warm-up time of a backend server from its response. */
-    void note_warmup(backend_server& server, http_response const& response, time_point now) const;
+    void update_warmup(backend_server& server, http_response const& response, time_point now) const;
     /** Handles a complete response. */
-    void on_answer(request_state& request, std::size_t index, http_response response, time_point now);
+    void on_response(request_state& request, std::size_t index, http_response response, time_point now);
     /** Handles an attempt that finished without a response. */
     void on_failure(request_state& request, std::size_t index, attempt_result const& result, time_point now);
     /** @return whether a response may be sent to the caller or merged. */
-    bool usable_answer(request_state const& request, http_response const& response) const;
+    bool is_usable(request_state const& request, http_response const& response) const;
     /** A shard has received its response: cancels its other attempts. */
-    void shard_done(request_state& request, std::size_t index, time_point now);
+    void complete_shard(request_state& request, std::size_t index, time_point now);
     /** A shard has failed for good. */
-    void shard_failed(request_state& request, std::size_t index, time_point now);
+    void fail_shard(request_state& request, std::size_t index, time_point now);
     /** Cancels an attempt that is no longer needed, or lets it run on for measurement. */
-    void release(attempt_id id, bool may_observe, time_point now);
+    void release_attempt(attempt_id id, bool may_observe, time_point now);
 
     /** Finishes the request if its response is decided. */
-    void check_finish(request_state& request, time_point now);
+    void finish_if_decided(request_state& request, time_point now);
     /** Finishes a request with a response. */
     void finish(request_key key, http_response response, char const* reason, time_point now);
     /** Completes the summary of a finished request and passes it to the hook. */
     void report(request_state& request, time_point now);
     /** @return the response merged from the shards that have one. */
-    http_response merged(request_state& request) const;
+    http_response merged_response(request_state& request) const;
     /** @return the response to a failed request. It says that the request has not run only if that is certain. */
-    http_response failure_answer(request_state& request, bool timed_out);
+    http_response failure_response(request_state& request, bool timed_out);
     /** Sets the request's timer to @p when, unless it is due earlier. */
-    void arm(request_state& request, time_point when);
+    void schedule(request_state& request, time_point when);
     /** Sets the request's timer to the earliest of its deadline, response time, hedges and retries. */
-    void rearm(request_state& request, time_point now);
+    void schedule_next(request_state& request, time_point now);
     /** Handles the timer of a request. */
     void on_due(request_state& request, time_point now);
     /** Runs all timers that are due. */
--- a/src/dispatch/duration_window.cpp
+++ b/src/dispatch/duration_window.cpp
@@ -21,8 +21,8 @@
     if (m_samples.size() < m_sizes.min_samples) return std::nullopt;
     if (!m_cached || m_since_sort >= m_sizes.refresh_after) {
         auto sorted = m_samples;
-        auto const place = static_cast<std::size_t>(quantile * static_cast<double>(sorted.size() - 1));
-        auto const nth = sorted.begin() + static_cast<std::ptrdiff_t>(place);
+        auto const index = static_cast<std::size_t>(quantile * static_cast<double>(sorted.size() - 1));
+        auto const nth = sorted.begin() + static_cast<std::ptrdiff_t>(index);
         std::nth_element(sorted.begin(), nth, sorted.end());
         m_cached = *nth;
         m_since_sort = 0;
--- a/src/dispatch/preconnect.cpp
+++ b/src/dispatch/preconnect.cpp
@@ -21,8 +21,8 @@
     for (auto const& [service, all_homes] : services) {
         auto const reachable = [&, &service = service, &all_homes = all_homes](backend_server const& server) {
             return std::any_of(all_homes.begin(), all_homes.end(), [&](region_set const& homes) {
-                place_demand const asked{homes, config.warmup(service)};
-                return places.refusal(server.place, asked, now) == place_refusal::none;
+                place_demand const demand{homes, config.warmup(service)};
+                return places.refusal(server.place, demand, now) == place_refusal::none;
             });
         };
         for (auto const& server : registry.group(service).backends) {
--- a/src/dispatch/request_state.hpp
+++ b/src/dispatch/request_state.hpp
@@ -24,28 +24,28 @@
     service_group* group = nullptr;         ///< Service.
     std::shared_ptr<backend_server> target; ///< Backend server.
     duration_window* latencies = nullptr;   ///< Window that receives its latency.
-    time_point sent;                        ///< Time of sending.
-    bool trial = false;                     ///< Sent while the attempts of its request were sent one at a time.
+    time_point sent_at;                     ///< Time of sending.
+    bool sequential = false;                ///< Sent while the attempts of its request were sent one at a time.
     bool observed = false;                  ///< No longer needed; runs on only to measure its backend server.
 };
 
 /** Progress of one shard of a request. A request without a gather has one shard. */
 struct shard_state {
-    service_group* group = nullptr;      ///< Service.
-    warmup_spec const* warmup = nullptr; ///< Warm-up settings of the service in the request's configuration.
-    std::vector<backend_id> tried;       ///< Backend servers that an attempt was sent to.
-    std::vector<attempt_id> open;        ///< Attempts in flight.
-    int sends = 0;                       ///< Number of attempts.
-    int arrivals = 0;                    ///< Number of attempts that may have reached a backend server.
-    int runs = 0;                        ///< Number of attempts that may have run.
-    bool done = false;                   ///< A usable response was received.
-    bool failed = false;                 ///< It has finished without a usable response.
-    bool waiting = false;                ///< In the service's queue for a free connection.
-    bool held = false;                   ///< Waits for attempts at other shards, as attempts are sent one at a time.
-    time_point hedge_at;                 ///< Time of the hedge; max: none.
-    bool hedge_postponed = false;        ///< The hedge was postponed once, as it was due late.
-    time_point retry_at;                 ///< Time of the retry; max: none.
-    std::optional<http_response> answer; ///< Usable response, or else the last response received.
+    service_group* group = nullptr;        ///< Service.
+    warmup_spec const* warmup = nullptr;   ///< Warm-up settings of the service in the request's configuration.
+    std::vector<backend_id> tried;         ///< Backend servers that an attempt was sent to.
+    std::vector<attempt_id> in_flight;     ///< Attempts in flight.
+    int sends = 0;                         ///< Number of attempts.
+    int maybe_received = 0;                ///< Number of attempts that may have reached a backend server.
+    int maybe_run = 0;                     ///< Number of attempts that may have run.
+    bool done = false;                     ///< A usable response was received.
+    bool failed = false;                   ///< It has finished without a usable response.
+    bool queued = false;                   ///< In the service's queue for a free connection.
+    bool held = false;                     ///< Waits for attempts at other shards, as attempts are sent one at a time.
+    time_point hedge_at;                   ///< Time of the hedge; max: none.
+    bool hedge_postponed = false;          ///< The hedge was postponed once, as it was due late.
+    time_point retry_at;                   ///< Time of the retry; max: none.
+    std::optional<http_response> response; ///< Usable response, or else the last response received.
 };
 
 /** A request without a response. */
@@ -54,12 +54,12 @@
     http_request message;                         ///< Request as received.
     std::string head_bytes;                       ///< Start line and forwarded headers, serialized.
     std::shared_ptr<serving_config const> config; ///< Configuration that it is handled with.
-    route const* via = nullptr;                   ///< Route, inside config.
-    time_point arrived;                           ///< Time at which it was read.
+    route const* matched_route = nullptr;         ///< Route, inside config.
+    time_point arrived_at;                        ///< Time at which it was read.
     time_point deadline;                          ///< Latest time of the response.
-    bool returning = false;                       ///< Its caller has tried before, judging by the time already spent.
-    milliseconds gone{0};                         ///< Time that its caller had spent before sending it.
-    time_point answer_by;                         ///< When a response with sufficient coverage is sent, at the latest.
+    bool retried = false;                         ///< Its caller has tried before, judging by the time already spent.
+    milliseconds caller_time_spent{0};            ///< Time that its caller had spent before sending it.
+    time_point respond_by;                        ///< When a response with sufficient coverage is sent, at the latest.
     time_point due = time_point::max();           ///< Its timer in the dispatcher's list.
     route_latencies* latencies = nullptr;         ///< Recent shard latencies of the route.
     std::vector<shard_state> shards;              ///< Shards.
@@ -67,14 +67,14 @@
     std::size_t failed = 0;                       ///< Number of failed shards.
     std::size_t needed = 1;                       ///< Number of shards that a successful response needs.
     admission_control* admission = nullptr;       ///< Admission control that admitted it, or null.
-    bool half_answered = false;                   ///< Half of the shards have responded.
-    bool cautious = false;                        ///< Attempts are sent one at a time, as it may crash backend servers.
+    bool half_responded = false;                  ///< Half of the shards have responded.
+    bool sequential = false;                      ///< Attempts are sent one at a time, as it may crash backend servers.
     bool on_trial = false;                        ///< It was a suspect on arrival, and this is its trial.
-    bool survived = false;                        ///< Some backend server has sent a usable response.
-    int trials = 0;                               ///< Attempts of the one-at-a-time phase that may have run.
+    bool usable_received = false;                 ///< Some backend server has sent a usable response.
+    int sequential_runs = 0;                      ///< Attempts of the one-at-a-time phase that may have run.
     request_summary summary;                      ///< Summary for logs and metrics.
     /** @return whether its route is a gather. */
-    bool gathers() const { return via->gather.has_value(); }
+    bool gathers() const { return matched_route->gather.has_value(); }
     /** @return whether some attempt may have run or may still run. */
     bool may_have_run() const;
 };
--- a/tests/test_heavy_window.cpp
+++ b/tests/test_coverage_admission.cpp
@@ -1,4 +1,5 @@
-/** @file test_heavy_window.cpp Overload of some shards: queries that would lack shards are rejected on arrival. */
+/** @file test_coverage_admission.cpp Overload of some shards: queries that would lack shards are rejected on arrival.
+ */
 #include <cornelspring/emulator.hpp>
 
 #include <doctest/doctest.h>
@@ -8,11 +9,12 @@
 namespace {
 
 /** Outcomes of queries, summed over several seeds. */
-struct window_outcome {
-    double urgent_in_time = 0; ///< Queries of kind 1 (deadline-check: short goal, lower coverage) within their goal.
-    double served = 0;         ///< Queries with a successful response.
-    double refused = 0;        ///< Queries rejected as not run.
-    double failed = 0;         ///< Queries that failed otherwise.
+struct query_outcomes {
+    double deadline_check_in_goal =
+        0;               ///< Queries of kind 1 (deadline-check: short goal, lower coverage) within their goal.
+    double served = 0;   ///< Queries with a successful response.
+    double rejected = 0; ///< Queries rejected as not run.
+    double failed = 0;   ///< Queries that failed otherwise.
 };
 
 /** @return the deployment of the example file with @p seed. */
@@ -25,17 +27,17 @@
 }
 
 /** @return the outcomes over the seeds 1 to 16. @param by_coverage whether coverable_share() limits admission. */
-window_outcome play(bool by_coverage)
+query_outcomes emulate_seeds(bool by_coverage)
 {
-    window_outcome total;
+    query_outcomes total;
     for (std::uint64_t seed = 1; seed <= 16; ++seed) {
         auto deployment = slow_shards_at_size(seed);
         deployment.options.by_coverage = by_coverage;
         auto const result = emulate(deployment);
-        total.urgent_in_time += result.kinds.at(1).in_goal;
+        total.deadline_check_in_goal += result.kinds.at(1).in_goal;
         for (auto const& kind : result.kinds) {
             total.served += kind.in_goal + kind.late;
-            total.refused += kind.refused;
+            total.rejected += kind.refused;
             total.failed += kind.failed;
         }
     }
@@ -49,11 +51,11 @@
 {
     // Measured over seeds 1 to 48, per run of 747 queries, without and with by_coverage: failed 126 and 89, rejected 5
     // and 36, served 615 and 623, deadline-check queries within their goal 114 and 117 of 186.
-    auto const before = play(false);
-    auto const after = play(true);
+    auto const before = emulate_seeds(false);
+    auto const after = emulate_seeds(true);
     CHECK(after.failed < 0.75 * before.failed);
     CHECK(after.served > 0.99 * before.served);
-    CHECK(after.urgent_in_time > before.urgent_in_time);
+    CHECK(after.deadline_check_in_goal > before.deadline_check_in_goal);
 }
 
 TEST_CASE("heavy window: runs with random crashes and faults are reproducible by their seed")
@@ -86,17 +88,17 @@
 TEST_CASE("shard outlook: a failure counts for some seconds, and simultaneous failures count little more than one")
 {
     using std::chrono::milliseconds;
-    auto const begin = time_point{} + std::chrono::seconds(100);
+    auto const start = time_point{} + std::chrono::seconds(100);
     shard_outlook outlook;
-    CHECK(outlook.answered_share(begin) == 1.0);
-    outlook.on_outcome(false, begin);
-    CHECK(outlook.answered_share(begin) == doctest::Approx(0.5));
-    CHECK(outlook.answered_share(begin + milliseconds(10000)) > 0.99);
+    CHECK(outlook.answered_share(start) == 1.0);
+    outlook.on_outcome(false, start);
+    CHECK(outlook.answered_share(start) == doctest::Approx(0.5));
+    CHECK(outlook.answered_share(start + milliseconds(10000)) > 0.99);
     for (int i = 1; i <= 5; ++i)
-        outlook.on_outcome(false, begin + milliseconds(i));
-    CHECK(outlook.answered_share(begin + milliseconds(5)) > 0.35);
-    outlook.on_outcome(false, begin + milliseconds(900));
-    CHECK(outlook.answered_share(begin + milliseconds(900)) < 0.35);
-    outlook.on_outcome(true, begin + milliseconds(1800));
-    CHECK(outlook.answered_share(begin + milliseconds(1800)) > 0.6);
+        outlook.on_outcome(false, start + milliseconds(i));
+    CHECK(outlook.answered_share(start + milliseconds(5)) > 0.35);
+    outlook.on_outcome(false, start + milliseconds(900));
+    CHECK(outlook.answered_share(start + milliseconds(900)) < 0.35);
+    outlook.on_outcome(true, start + milliseconds(1800));
+    CHECK(outlook.answered_share(start + milliseconds(1800)) > 0.6);
 }
--- a/tests/test_caution.cpp
+++ b/tests/test_crash_suspects.cpp
@@ -1,4 +1,5 @@
-/** @file test_caution.cpp Requests that may crash backend servers: attempts one at a time, trials, quarantine. */
+/** @file test_crash_suspects.cpp Requests that may crash backend servers: attempts one at a time, trials, quarantine.
+ */
 #include "dispatcher_fixture.hpp"
 
 #include <algorithm>
@@ -9,11 +10,11 @@
 namespace {
 
 /** @return the number of attempts from index @p from on that were not cancelled. */
-std::size_t under_way(dispatcher_fixture const& fleet, std::size_t from)
+std::size_t not_cancelled(dispatcher_fixture const& fleet, std::size_t from)
 {
     return static_cast<std::size_t>(
         std::count_if(fleet.sent.begin() + static_cast<std::ptrdiff_t>(from), fleet.sent.end(),
-                      [&](outgoing_attempt const& order) { return !fleet.cancelled.contains(order.id.value()); }));
+                      [&](outgoing_attempt const& attempt) { return !fleet.cancelled.contains(attempt.id.value()); }));
 }
 
 /** Crashes every backend server that runs the request, until a response is sent. */
@@ -150,7 +151,7 @@
     {
         fleet.finish_attempt(before, attempt_end::not_executed);
         fleet.advance(20ms);
-        CHECK(under_way(fleet, before + 1) == 1);
+        CHECK(not_cancelled(fleet, before + 1) == 1);
     }
     SUBCASE("a caller that disconnects during the trial cannot cause repeated trials")
     {
--- a/tests/test_crashing_fleet.cpp
+++ b/tests/test_crashing_fleet.cpp
@@ -11,7 +11,7 @@
 
 /** @return a deployment of @p vms gateways over 20 shards with one kind of query. A request that crashes backend
  * servers is sent every 2.3 s. */
-emulated_deployment crashing_day(int vms, std::uint64_t seed)
+emulated_deployment crashing_deployment(int vms, std::uint64_t seed)
 {
     emulated_deployment made;
     emulated_kind search;
@@ -40,7 +40,7 @@
         for (std::uint64_t seed = 1; seed <= 3; ++seed) {
             CAPTURE(vms);
             CAPTURE(seed);
-            auto const result = emulate(crashing_day(vms, seed));
+            auto const result = emulate(crashing_deployment(vms, seed));
             CHECK(result.servers_crashed >= 3); // The crashes are needed to detect it.
             CHECK(result.servers_crashed <= 25);
             CHECK(result.crashing_repeats <= 3);
@@ -51,15 +51,15 @@
 TEST_CASE("emulator: other queries are served while a request crashes backend servers")
 {
     // Share of the response value with this seed: 0.408 without crash records, 0.991 with them.
-    CHECK(emulate(crashing_day(7, 1)).earned_share() > 0.9);
+    CHECK(emulate(crashing_deployment(7, 1)).earned_share() > 0.9);
 }
 
 TEST_CASE("emulator: the quarantine survives a restart of all gateways")
 {
-    auto day = crashing_day(7, 1);
+    auto deployment = crashing_deployment(7, 1);
     emulated_fault restart;
     restart.kind = "restart";
     restart.at_s = 20;
-    day.faults.push_back(restart);
-    CHECK(emulate(day).crashing_repeats <= 3);
+    deployment.faults.push_back(restart);
+    CHECK(emulate(deployment).crashing_repeats <= 3);
 }
--- a/tests/test_dispatcher.cpp
+++ b/tests/test_dispatcher.cpp
@@ -19,16 +19,16 @@
 TEST_CASE("dispatcher: Retry-After grows with the time without a configuration")
 {
     dispatcher_fixture fleet({}, nullptr);
-    auto const told = [&fleet] {
+    auto const retry_after = [&fleet] {
         return std::stod(fleet.response_to(fleet.start("/any/", "id")).header("retry-after"));
     };
-    CHECK(told() <= 0.2);
+    CHECK(retry_after() <= 0.2);
     fleet.advance(std::chrono::milliseconds(500));
-    auto const after_half_a_second = told();
+    auto const after_half_a_second = retry_after();
     CHECK(after_half_a_second >= 0.5);
     CHECK(after_half_a_second <= 1.0);
     fleet.advance(std::chrono::milliseconds(20000));
-    auto const after_long = told();
+    auto const after_long = retry_after();
     CHECK(after_long >= 1.0);
     CHECK(after_long <= 2.0);
 }
@@ -122,11 +122,11 @@
     SUBCASE("complete")
     {
         fleet.respond(3, 200, std::string(16, 'z'));
-        auto const& answer = fleet.response_to(key);
-        CHECK(answer.status == 200);
-        CHECK(answer.header("missing") == "0");
-        CHECK(answer.body == std::string(16, 'z') + std::string(16, 'c'));
-        CHECK(answer.header("parts") == "sig-0, sig-1, sig-2, sig-3");
+        auto const& response = fleet.response_to(key);
+        CHECK(response.status == 200);
+        CHECK(response.header("missing") == "0");
+        CHECK(response.body == std::string(16, 'z') + std::string(16, 'c'));
+        CHECK(response.header("parts") == "sig-0, sig-1, sig-2, sig-3");
     }
     SUBCASE("a response with sufficient coverage is sent in time for the goal")
     {
--- a/tests/test_preconnect.cpp
+++ b/tests/test_preconnect.cpp
@@ -7,10 +7,10 @@
 namespace {
 
 /** The dispatcher fixture with one more backend server of shard g0, in another region. */
-struct plan_fixture : dispatcher_fixture {
-    plan_fixture() { add_backend("g0", "c", "e"); }
+struct preconnect_fixture : dispatcher_fixture {
+    preconnect_fixture() { add_backend("g0", "c", "e"); }
     /** @return the ids of the servers to connect to, in order. */
-    std::vector<std::string> planned(std::set<std::string> const& connected = {})
+    std::vector<std::string> servers_to_connect(std::set<std::string> const& connected = {})
     {
         auto const is_connected = [&](std::shared_ptr<backend_server> const& server) {
             return connected.contains(server->entry.id.value());
@@ -22,9 +22,9 @@
         return ids;
     }
     /** @return whether @p id is one of the servers to connect to. */
-    bool plans(std::string const& id)
+    bool would_connect(std::string const& id)
     {
-        auto const ids = planned();
+        auto const ids = servers_to_connect();
         return std::find(ids.begin(), ids.end(), id) != ids.end();
     }
     std::mt19937_64 random{1}; ///< Random source for the order.
@@ -32,15 +32,15 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(plan_fixture, "pre-connect: all servers of shards without a connection, near ones first")
+TEST_CASE_FIXTURE(preconnect_fixture, "pre-connect: all servers of shards without a connection, near ones first")
 {
-    auto const ids = planned();
+    auto const ids = servers_to_connect();
     CHECK(ids.size() == 9); // Two of each of the four shards and the far one; none of the services without a gather.
     CHECK(ids.back() == "g0c");
-    CHECK(planned({"g0a", "g1b"}).size() == 7);
+    CHECK(servers_to_connect({"g0a", "g1b"}).size() == 7);
 }
 
-TEST_CASE_FIXTURE(plan_fixture, "pre-connect: only servers that some route over the shards may reach")
+TEST_CASE_FIXTURE(preconnect_fixture, "pre-connect: only servers that some route over the shards may reach")
 {
     auto const with_homes = [this](int version, region_set const& first, region_set const& second) {
         auto routes = configs.current()->routes();
@@ -54,34 +54,34 @@
             config_version(version), routes, std::map<service_name, service_spec_limits>{}, caller_limits{}));
     };
     with_homes(2, {region_name("q")}, {region_name("q")});
-    CHECK(planned() == std::vector<std::string>{"g0c"});
+    CHECK(servers_to_connect() == std::vector<std::string>{"g0c"});
     with_homes(3, {region_name("q")}, {region_name("r")});
-    CHECK(planned().size() == 9);
+    CHECK(servers_to_connect().size() == 9);
 }
 
-TEST_CASE_FIXTURE(plan_fixture, "pre-connect: no servers that get no requests")
+TEST_CASE_FIXTURE(preconnect_fixture, "pre-connect: no servers that get no requests")
 {
-    REQUIRE(plans("g0a"));
+    REQUIRE(would_connect("g0a"));
     SUBCASE("because it is draining")
     {
         registry.apply({backend_id("g0a"), service_name("g0"), {"127.0.0.1", 1}, domain_name("d"), 2, true, 0ms}, now);
-        CHECK_FALSE(plans("g0a"));
+        CHECK_FALSE(would_connect("g0a"));
     }
     SUBCASE("because its failure domain is evacuated")
     {
         places.evacuated().begin(domain_name("d"));
-        CHECK(planned() == std::vector<std::string>{"g0c"});
+        CHECK(servers_to_connect() == std::vector<std::string>{"g0c"});
     }
     SUBCASE("because it has just failed, until it may be tried again")
     {
         registry.find(backend_id("g0a"))->load.on_stalled(now);
-        CHECK_FALSE(plans("g0a"));
+        CHECK_FALSE(would_connect("g0a"));
         advance(200ms);
-        CHECK(plans("g0a"));
+        CHECK(would_connect("g0a"));
     }
     SUBCASE("because an attempt is in flight to it")
     {
         registry.find(backend_id("g0a"))->load.on_sent();
-        CHECK_FALSE(plans("g0a"));
+        CHECK_FALSE(would_connect("g0a"));
     }
 }
