--- a/include/cornelspring/dispatch.hpp
+++ b/include/cornelspring/dispatch.hpp
@@ -133,7 +133,7 @@
     time_point caller_deadline; ///< Deadline of the caller, sent to the backend server as the remaining time.
     std::string request_id;     ///< The caller's request id, which the response must repeat.
     bool head_request = false;  ///< HEAD request, so the response has no body.
-    bool idempotent = true;     ///< May be sent on an idle connection that may have been closed already.
+    bool idempotent = true;     ///< Its route is idempotent, so it may use an idle connection that may be closed.
 };
 
 /** Result of an attempt. */
--- a/tests/test_coverage_admission.cpp
+++ b/tests/test_coverage_admission.cpp
@@ -47,7 +47,7 @@
 } // namespace
 
 TEST_CASE(
-    "heavy window: queries that would lack shards are rejected on arrival instead of failing, and no fewer are served")
+    "admission by coverage: queries that would lack shards are rejected instead of failing, and no fewer are served")
 {
     // Measured over seeds 1 to 48, per run of 747 queries, without and with by_coverage: failed 126 and 89, rejected 5
     // and 36, served 615 and 623, deadline-check queries within their goal 114 and 117 of 186.
@@ -58,13 +58,13 @@
     CHECK(after.deadline_check_in_goal > before.deadline_check_in_goal);
 }
 
-TEST_CASE("heavy window: runs with random crashes and faults are reproducible by their seed")
+TEST_CASE("admission by coverage: runs with random crashes and faults are reproducible by their seed")
 {
     CHECK(to_json(emulate(slow_shards_at_size(3))) == to_json(emulate(slow_shards_at_size(3))));
     CHECK(to_json(emulate(slow_shards_at_size(3))) != to_json(emulate(slow_shards_at_size(4))));
 }
 
-TEST_CASE("heavy window: no query is rejected for coverage if all shards can handle the load")
+TEST_CASE("admission by coverage: no query is rejected for coverage if all shards can handle the load")
 {
     auto calm = slow_shards_at_size(1);
     calm.faults.clear();
--- a/tests/test_crash_suspects.cpp
+++ b/tests/test_crash_suspects.cpp
@@ -28,7 +28,8 @@
 
 } // namespace
 
-TEST_CASE("caution: a query that crashes backend servers is retried at one server, not at a replica of each shard")
+TEST_CASE(
+    "crash suspects: a query that crashes backend servers is retried at one server, not at a replica of each shard")
 {
     dispatcher_fixture fleet;
     auto const key = fleet.start("/gather/x", "id1");
@@ -54,7 +55,7 @@
     CHECK(fleet.sent.size() == 9);
 }
 
-TEST_CASE("caution: a query that does not cause crashes gets a complete response from the remaining servers")
+TEST_CASE("crash suspects: a query that does not cause crashes gets a complete response from the remaining servers")
 {
     dispatcher_fixture fleet;
     auto const key = fleet.start("/gather/x", "id1");
@@ -74,7 +75,7 @@
     CHECK(fleet.quarantine.standing(fleet.finished.back().digest, fleet.now) == request_standing::clear);
 }
 
-TEST_CASE("caution: slow shards are hedged again once another shard has responded")
+TEST_CASE("crash suspects: slow shards are hedged again once another shard has responded")
 {
     dispatcher_fixture fleet;
     fleet.start("/gather/x", "id1");
@@ -87,7 +88,7 @@
     CHECK(fleet.sent.size() >= 7); // Hedges of the two slow shards.
 }
 
-TEST_CASE("caution: crashes add up over repetitions of a request with one shard, also on non-idempotent routes")
+TEST_CASE("crash suspects: crashes add up over repetitions of a request with one shard, also on non-idempotent routes")
 {
     for (char const* path : {"/plain/x", "/write/x"}) {
         CAPTURE(path);
@@ -108,7 +109,7 @@
     }
 }
 
-TEST_CASE("caution: a suspect is sent to one server at a time, in one trial at a time")
+TEST_CASE("crash suspects: a suspect is sent to one server at a time, in one trial at a time")
 {
     dispatcher_options options;
     options.by_coverage = false; // Otherwise queries would be rejected because of the shards that are unreachable.
@@ -166,7 +167,7 @@
     }
 }
 
-TEST_CASE("caution: a quarantine reported by a peer gateway applies here")
+TEST_CASE("crash suspects: a quarantine reported by a peer gateway applies here")
 {
     dispatcher_fixture fleet;
     http_request message;
@@ -185,7 +186,7 @@
  * (seed 301, 14 s), 1,292 of 1,737 queries were rejected.
  * Cause: the gateway recorded the crashes during a request, but not its successful responses.
  */
-TEST_CASE("caution: a query with recent responses is not quarantined for crashes that another query causes")
+TEST_CASE("crash suspects: a query with recent responses is not quarantined for crashes that another query causes")
 {
     dispatcher_fixture fleet;
     fleet.start("/gather/common", "id1");
