--- a/include/cornelspring/feed.hpp
+++ b/include/cornelspring/feed.hpp
@@ -134,9 +134,9 @@
     /** Keys by the position of their newest change. */
     using change_index = std::set<std::pair<store_position, std::string>>;
     /** Takes in one change. */
-    void take(store_item const& change);
+    void apply_change(store_item const& change);
     /** Forgets the oldest removals beyond those that are kept. */
-    void forget_removals();
+    void drop_oldest_removals();
     /** @return a page from @p from on. @param with_removals whether removals belong to it. */
     store_batch page(store_position from, bool with_removals) const;
 
@@ -217,7 +217,7 @@
 class feed_selector {
 public:
     /** @param place where this VM is. @param seed random seed. */
-    feed_selector(feed_selector_settings place, std::uint64_t seed);
+    feed_selector(feed_selector_settings settings, std::uint64_t seed);
     /** @return the source to watch; nothing when a search must find one. @param members live gateways. */
     std::optional<feed_source> choose(member_map const& members) const;
     /** @return the source of a full read: the store when it can be reached, since many full reads at once overload
@@ -239,22 +239,22 @@
 private:
     /** A source that failed. */
     struct failure {
-        int strikes = 0;     ///< Failures in a row.
-        time_point retry_at; ///< When it may be asked for proof.
+        int consecutive_failures = 0; ///< Failures in a row.
+        time_point retry_at;          ///< When it may be asked for proof.
     };
     /** @return whether @p source failed and has not proved to be current since. */
     bool failed(feed_source const& source) const { return m_failed.contains(source.peer_key); }
     /** @return the source that this VM should use. */
     feed_source preferred(member_map const& members) const;
     /** @return whether this VM is the head of its failure domain, or nobody is. */
-    bool is_head(member_map const& members) const;
+    bool is_leader(member_map const& members) const;
     /** @return other gateways in random order, near ones first and failure domains by turns; those that failed or were
      *  asked already last. */
     std::vector<feed_source> candidates(member_map const& members);
     /** @return whether a round of a search asks the store too. */
-    bool asks_store(member_map const& members, int round);
+    bool includes_store(member_map const& members, int round);
 
-    feed_selector_settings m_place;          ///< Where this VM is.
+    feed_selector_settings m_settings;       ///< Where this VM is.
     std::mt19937_64 m_random;                ///< Order of candidates.
     std::map<std::string, failure> m_failed; ///< Failed sources; the store has an empty key.
     std::set<std::string> m_asked;           ///< Sources asked in this search.
@@ -311,7 +311,7 @@
     std::function<void(feed_source const& source, char const* reason)> on_source_failed;        ///< A source failed.
     /** A source with a current copy answered, before what it says is taken in. @param unheard how long nothing had
      *  confirmed the copy. */
-    std::function<void(feed_source const& source, milliseconds unheard)> on_current_response;
+    std::function<void(feed_source const& source, milliseconds unconfirmed_for)> on_current_response;
     /** What a source answered was taken in. @param confirmed_at when the copy was current for certain. @param path
      * gateways between this VM and the store, the source first. */
     std::function<void(feed_source const& source, time_point confirmed_at, std::vector<std::string> const& path)>
@@ -381,7 +381,7 @@
     /** Says what this VM's link carries. @param bytes_per_s rate; 0: not known, and all is told at once. */
     void set_uplink(double bytes_per_s);
     /** Takes in a question; it is answered now or later. @param key its key. @param asked question. */
-    void handle_request(request_key key, follower_request const& asked);
+    void handle_request(request_key key, follower_request const& request);
     /** The one who asked has left. @param key question. @return whether it was waiting. */
     bool cancel(request_key key);
     /** The copy was confirmed. @param source by whom. @param confirmed_at when it was current for certain.
@@ -397,36 +397,36 @@
 
 private:
     /** Followers that are to be told the same. */
-    struct turn {
-        follower_request asked;        ///< What they asked.
+    struct pending_response {
+        follower_request request;      ///< What they asked.
         std::vector<request_key> keys; ///< Their questions.
-        follower_response answer;      ///< What they are told.
-        time_point made_at;            ///< When the answer was made; the epoch before that.
+        follower_response response;    ///< What they are told.
+        time_point created_at;         ///< When the answer was made; the epoch before that.
     };
     /** Forgets a follower that waits for changes. @param key question. @return whether it was waiting. */
-    bool forget_watch(request_key key);
+    bool remove_watch(request_key key);
     /** Answers the followers whose turn it is, as far as the link's share allows; the others later. */
-    void serve_turns();
+    void send_pending();
     /** Makes the answer of a turn, anew when it says too much of its age. */
-    void make_answer(turn& of, time_point now) const;
+    void update_response(pending_response& pending, time_point now) const;
     /** Answers some of the followers of a turn, as many as one piece holds. */
-    void tell_piece(turn& of, time_point now);
+    void send_part(pending_response& pending, time_point now);
     /** @return @p batch with the age of the copy. */
-    follower_response dated(store_batch batch) const;
+    follower_response with_age(store_batch batch) const;
     /** @return what changed after @p from, or that everything must be read. */
     follower_response changes_after(store_position from) const;
     /** @return that nothing has changed. */
-    follower_response unchanged() const;
-
-    state_mirror const& m_mirror;        ///< Copy.
-    hooks m_hooks;                       ///< Outside calls.
-    std::optional<feed_source> m_source; ///< Confirmed the copy last.
-    time_point m_confirmed_at;           ///< When the copy was current for certain.
-    std::vector<std::string> m_path;     ///< Gateways between this VM and the store.
-    bool m_searching = false;            ///< This VM searches a source.
-    uplink_backlog m_share;              ///< The share of the link, as a link of its own.
-    std::deque<turn> m_turns;            ///< Followers to be told something, first come first served.
-    bool m_turn_planned = false;         ///< serve_turns() will run.
+    follower_response unchanged_response() const;
+
+    state_mirror const& m_mirror;           ///< Copy.
+    hooks m_hooks;                          ///< Outside calls.
+    std::optional<feed_source> m_source;    ///< Confirmed the copy last.
+    time_point m_confirmed_at;              ///< When the copy was current for certain.
+    std::vector<std::string> m_path;        ///< Gateways between this VM and the store.
+    bool m_searching = false;               ///< This VM searches a source.
+    uplink_backlog m_follower_uplink;       ///< The share of the link, as a link of its own.
+    std::deque<pending_response> m_pending; ///< Followers to be told something, first come first served.
+    bool m_send_scheduled = false;          ///< serve_turns() will run.
     /** Followers that wait, by the position up to which they know. */
     std::map<store_position, std::vector<request_key>> m_watches;
 };
--- a/src/feed/feed_selector.cpp
+++ b/src/feed/feed_selector.cpp
@@ -7,57 +7,57 @@
 namespace {
 
 /** Sources asked in the first round of a search; each further quick round asks twice as many. */
-constexpr std::size_t first_asks = 4;
+constexpr std::size_t first_round_targets = 4;
 /** Sources asked in each round after the quick ones: by then the store is probably down for all, and questions cost a
  * VM with an eighth of a core time that its callers need. */
-constexpr std::size_t later_asks = 8;
+constexpr std::size_t later_round_targets = 8;
 /** A gateway that need not read the store asks it from this round on: two rounds found nobody. */
-constexpr int store_round = 2;
+constexpr int first_store_round = 2;
 /** Of the gateways of one failure domain, so many ask the store in such a round: when it is down for all, calls to it
  *  must not grow with the number of VMs. */
-constexpr double store_askers = 3;
+constexpr double store_searchers_per_domain = 3;
 /** A source that failed is asked for proof after this: a VM that restarts needs about as long to be current again. */
-constexpr std::chrono::seconds first_pause{3};
+constexpr std::chrono::seconds first_recheck_delay{3};
 /** Most doublings of that pause: one that stays dark is asked each 12 s. */
-constexpr int most_doublings = 2;
+constexpr int max_delay_doublings = 2;
 
 /** Heads of failure domains that read the store: two, so that the loss of one VM is not felt. With one in each
  *  failure domain the calls to the store would grow with their number. */
-constexpr std::size_t most_readers = 2;
+constexpr std::size_t max_store_readers = 2;
 
 /** Heads of failure domains. */
-using head_list = std::vector<member_map::const_iterator>;
+using leader_list = std::vector<member_map::const_iterator>;
 
 /** @return the heads of all failure domains, the largest gateways that stay, in key order. */
-head_list heads_of(member_map const& members)
+leader_list leaders_of(member_map const& members)
 {
     std::map<domain_name, member_map::const_iterator> by_domain;
     for (auto each = members.begin(); each != members.end(); ++each) {
         if (each->second.stopping) continue;
-        auto const [head, is_first] = by_domain.try_emplace(each->second.domain, each);
-        if (!is_first && larger_first(*each, *head->second)) head->second = each;
+        auto const [leader, is_first] = by_domain.try_emplace(each->second.domain, each);
+        if (!is_first && larger_first(*each, *leader->second)) leader->second = each;
     }
-    head_list heads;
-    for (auto const& [domain, head] : by_domain)
-        heads.push_back(head);
-    std::sort(heads.begin(), heads.end(), [](auto left, auto right) { return left->first < right->first; });
-    return heads;
+    leader_list leaders;
+    for (auto const& [domain, leader] : by_domain)
+        leaders.push_back(leader);
+    std::sort(leaders.begin(), leaders.end(), [](auto left, auto right) { return left->first < right->first; });
+    return leaders;
 }
 
 /** @return the head of @p domain among @p heads, or their end. */
-head_list::const_iterator find_domain(head_list const& heads, domain_name const& domain)
+leader_list::const_iterator find_domain(leader_list const& leaders, domain_name const& domain)
 {
-    return std::find_if(heads.begin(), heads.end(), [&](auto head) { return head->second.domain == domain; });
+    return std::find_if(leaders.begin(), leaders.end(), [&](auto leader) { return leader->second.domain == domain; });
 }
 
 /** @return a gateway as a source. */
 feed_source source_of(member_map::value_type const& member) { return {member.first, member.second.peer_address}; }
 
 /** @return how far @p member is, for the order in which it is asked. */
-int distance(gateway_member const& member, feed_selector_settings const& place)
+int distance(gateway_member const& member, feed_selector_settings const& settings)
 {
-    if (member.domain == place.domain) return 0;
-    return member.region == place.region ? 1 : 2;
+    if (member.domain == settings.domain) return 0;
+    return member.region == settings.region ? 1 : 2;
 }
 
 } // namespace
@@ -68,16 +68,16 @@
     return left.first < right.first;
 }
 
-feed_selector::feed_selector(feed_selector_settings place, std::uint64_t seed)
-    : m_place(std::move(place)), m_random(seed)
+feed_selector::feed_selector(feed_selector_settings settings, std::uint64_t seed)
+    : m_settings(std::move(settings)), m_random(seed)
 {
 }
 
 void feed_selector::on_failed(feed_source const& source, time_point now)
 {
     auto& known = m_failed[source.peer_key];
-    known.retry_at = now + first_pause * (1 << std::min(known.strikes, most_doublings));
-    ++known.strikes;
+    known.retry_at = now + first_recheck_delay * (1 << std::min(known.consecutive_failures, max_delay_doublings));
+    ++known.consecutive_failures;
     if (m_found == source) m_found.reset();
 }
 
@@ -87,23 +87,23 @@
     m_found = source;
 }
 
-bool feed_selector::is_head(member_map const& members) const
+bool feed_selector::is_leader(member_map const& members) const
 {
-    auto const heads = heads_of(members);
-    auto const own = find_domain(heads, m_place.domain);
-    return own == heads.end() || (*own)->first == m_place.self;
+    auto const leaders = leaders_of(members);
+    auto const own = find_domain(leaders, m_settings.domain);
+    return own == leaders.end() || (*own)->first == m_settings.self;
 }
 
 feed_source feed_selector::preferred(member_map const& members) const
 {
-    auto heads = heads_of(members);
-    auto const own = find_domain(heads, m_place.domain);
-    if (own != heads.end() && (*own)->first != m_place.self) return source_of(**own);
-    heads.resize(std::min(heads.size(), most_readers));
-    if (heads.empty() || find_domain(heads, m_place.domain) != heads.end()) return {"", m_place.store};
-    auto const near =
-        std::find_if(heads.begin(), heads.end(), [this](auto head) { return head->second.region == m_place.region; });
-    return source_of(**(near == heads.end() ? heads.begin() : near));
+    auto leaders = leaders_of(members);
+    auto const own = find_domain(leaders, m_settings.domain);
+    if (own != leaders.end() && (*own)->first != m_settings.self) return source_of(**own);
+    leaders.resize(std::min(leaders.size(), max_store_readers));
+    if (leaders.empty() || find_domain(leaders, m_settings.domain) != leaders.end()) return {"", m_settings.store};
+    auto const nearby = std::find_if(leaders.begin(), leaders.end(),
+                                     [this](auto leader) { return leader->second.region == m_settings.region; });
+    return source_of(**(nearby == leaders.end() ? leaders.begin() : nearby));
 }
 
 std::optional<feed_source> feed_selector::choose(member_map const& members) const
@@ -117,13 +117,13 @@
     // A seed has no key in the store. It serves while no other gateway is registered, as after an outage in which all
     // registrations lapsed but this VM's: found and turned down by turns, it kept an old configuration for 4 s.
     bool const alone =
-        std::all_of(members.begin(), members.end(), [this](auto const& each) { return each.first == m_place.self; });
+        std::all_of(members.begin(), members.end(), [this](auto const& each) { return each.first == m_settings.self; });
     return alone ? m_found : std::nullopt;
 }
 
 std::optional<feed_source> feed_selector::choose_for_read(member_map const& members) const
 {
-    feed_source const store{"", m_place.store};
+    feed_source const store{"", m_settings.store};
     return failed(store) ? choose(members) : store;
 }
 
@@ -138,27 +138,28 @@
 std::vector<feed_source> feed_selector::candidates(member_map const& members)
 {
     /** A gateway with its place in the order. */
-    struct ranked {
-        bool last;          ///< It failed, or was asked in this search.
-        std::size_t turn;   ///< Its number within its failure domain: domains take turns.
-        int distance;       ///< Near ones first.
-        feed_source source; ///< Gateway.
+    struct ranked_candidate {
+        bool tried;                 ///< It failed, or was asked in this search.
+        std::size_t rank_in_domain; ///< Its number within its failure domain: domains take turns.
+        int distance;               ///< Near ones first.
+        feed_source source;         ///< Gateway.
     };
     std::vector<member_map::const_iterator> shuffled;
     for (auto each = members.begin(); each != members.end(); ++each) {
-        if (each->first != m_place.self && !each->second.stopping) shuffled.push_back(each);
+        if (each->first != m_settings.self && !each->second.stopping) shuffled.push_back(each);
     }
     std::shuffle(shuffled.begin(), shuffled.end(), m_random);
-    std::map<domain_name, std::size_t> turns;
-    std::vector<ranked> order;
+    std::map<domain_name, std::size_t> counts_by_domain;
+    std::vector<ranked_candidate> order;
     for (auto const& each : shuffled) {
         auto const source = source_of(*each);
-        bool const last = failed(source) || m_asked.contains(source.peer_key);
-        auto const turn = last ? 0 : turns[each->second.domain]++;
-        order.push_back({last, turn, distance(each->second, m_place), source});
+        bool const tried = failed(source) || m_asked.contains(source.peer_key);
+        auto const rank_in_domain = tried ? 0 : counts_by_domain[each->second.domain]++;
+        order.push_back({tried, rank_in_domain, distance(each->second, m_settings), source});
     }
-    std::stable_sort(order.begin(), order.end(), [](ranked const& left, ranked const& right) {
-        return std::tie(left.last, left.turn, left.distance) < std::tie(right.last, right.turn, right.distance);
+    std::stable_sort(order.begin(), order.end(), [](ranked_candidate const& left, ranked_candidate const& right) {
+        return std::tie(left.tried, left.rank_in_domain, left.distance) <
+               std::tie(right.tried, right.rank_in_domain, right.distance);
     });
     std::vector<feed_source> found;
     for (auto& each : order)
@@ -166,13 +167,13 @@
     return found;
 }
 
-bool feed_selector::asks_store(member_map const& members, int round)
+bool feed_selector::includes_store(member_map const& members, int round)
 {
-    if (is_head(members)) return true;
-    if (round < store_round) return false;
-    auto const neighbours = static_cast<double>(std::count_if(
-        members.begin(), members.end(), [this](auto const& each) { return each.second.domain == m_place.domain; }));
-    return std::uniform_real_distribution<double>(0, neighbours)(m_random) < store_askers;
+    if (is_leader(members)) return true;
+    if (round < first_store_round) return false;
+    auto const domain_members = static_cast<double>(std::count_if(
+        members.begin(), members.end(), [this](auto const& each) { return each.second.domain == m_settings.domain; }));
+    return std::uniform_real_distribution<double>(0, domain_members)(m_random) < store_searchers_per_domain;
 }
 
 std::vector<feed_source> feed_selector::search_targets(member_map const& members, int round)
@@ -180,14 +181,14 @@
     if (round == 0) m_asked.clear();
     auto targets = candidates(members);
     if (targets.empty()) {
-        for (auto const& seed : m_place.seeds)
+        for (auto const& seed : m_settings.seeds)
             targets.push_back({"seed " + seed.to_string(), seed});
     }
-    auto const wanted = round < quick_search_rounds ? first_asks << round : later_asks;
+    auto const wanted = round < quick_search_rounds ? first_round_targets << round : later_round_targets;
     targets.resize(std::min(targets.size(), wanted));
     for (auto const& target : targets)
         m_asked.insert(target.peer_key);
-    if (asks_store(members, round)) targets.push_back({"", m_place.store});
+    if (includes_store(members, round)) targets.push_back({"", m_settings.store});
     return targets;
 }
 
--- a/src/feed/peer_codec.cpp
+++ b/src/feed/peer_codec.cpp
@@ -13,9 +13,9 @@
 using nlohmann::json;
 
 /** Answers below this size go as they are: most say that nothing has changed, in some 60 bytes. */
-constexpr std::size_t deflate_from = 512;
+constexpr std::size_t min_deflate_bytes = 512;
 /** Largest answer that is taken; a configuration takes 1 MiB at most, beside a page of other items. */
-constexpr std::size_t largest_answer = 4 << 20;
+constexpr std::size_t max_response_bytes = 4 << 20;
 
 /** @return @p bytes deflated. */
 std::vector<std::uint8_t> deflate_bytes(std::vector<std::uint8_t> const& bytes)
@@ -31,14 +31,14 @@
 
 /** @return the answer in @p fields, which says how long it is and holds it deflated.
  *  @throw error bad_request when it is not what it says. */
-json inflate_answer(json const& fields)
+json inflate_response(json const& fields)
 {
     auto const& deflated = fields.at("deflated").get_binary();
     auto const expected = fields.at("bytes").get<std::size_t>();
-    auto size = static_cast<uLongf>(std::min(expected, largest_answer));
+    auto size = static_cast<uLongf>(std::min(expected, max_response_bytes));
     std::vector<std::uint8_t> out(size);
-    bool const whole = uncompress(out.data(), &size, deflated.data(), deflated.size()) == Z_OK && size == expected;
-    if (whole) return json::from_cbor(out);
+    bool const complete = uncompress(out.data(), &size, deflated.data(), deflated.size()) == Z_OK && size == expected;
+    if (complete) return json::from_cbor(out);
     throw error(error_kind::bad_request, "a gateway's answer cannot be inflated.",
                 "Gateways of one fleet must run the same release.");
 }
@@ -48,7 +48,7 @@
 {
     store_batch batch;
     auto fields = json::from_cbor(response.body);
-    if (fields.contains("deflated")) fields = inflate_answer(fields);
+    if (fields.contains("deflated")) fields = inflate_response(fields);
     store_era const era(fields.at("era").get<std::int64_t>());
     batch.as_of = {era, fields.at("as_of").get<std::int64_t>()};
     batch.next_page_token = fields.at("next").get<std::string>();
@@ -81,7 +81,7 @@
                          {"path", batch.path},
                          {"items", list}};
     auto bytes = json::to_cbor(fields);
-    if (bytes.size() >= deflate_from) {
+    if (bytes.size() >= min_deflate_bytes) {
         bytes = json::to_cbor({{"bytes", bytes.size()}, {"deflated", json::binary(deflate_bytes(bytes))}});
     }
     return {bytes.begin(), bytes.end()};
@@ -89,21 +89,22 @@
 
 store_codec make_peer_codec(std::string self)
 {
-    auto const ask = [self = std::move(self)](std::string path) {
+    auto const make_request = [self = std::move(self)](std::string path) {
         http_request request;
         request.path = std::move(path);
         request.headers.push_back({peer_paths::sender_header, self});
         return request;
     };
     store_codec codec;
-    codec.read = [ask](std::string const&, std::string const& page) {
-        return ask(std::string(peer_paths::state) + "?after=" + (page.empty() ? store_position().to_string() : page));
+    codec.read = [make_request](std::string const&, std::string const& page) {
+        return make_request(std::string(peer_paths::state) +
+                            "?after=" + (page.empty() ? store_position().to_string() : page));
     };
-    codec.watch = [ask](std::string const&, store_position after, milliseconds wait) {
-        return ask(std::string(peer_paths::changes) + "?after=" + after.to_string() +
-                   "&wait_ms=" + std::to_string(wait.count()));
+    codec.watch = [make_request](std::string const&, store_position after, milliseconds wait) {
+        return make_request(std::string(peer_paths::changes) + "?after=" + after.to_string() +
+                            "&wait_ms=" + std::to_string(wait.count()));
     };
-    codec.freshness = [ask](store_position) { return ask(peer_paths::freshness); };
+    codec.freshness = [make_request](store_position) { return make_request(peer_paths::freshness); };
     codec.parse_batch = decode_peer_batch;
     return codec;
 }
--- a/src/feed/state_mirror.cpp
+++ b/src/feed/state_mirror.cpp
@@ -5,13 +5,13 @@
 namespace {
 
 /** Removals kept for followers: those of several seconds of the largest reshard; a follower asks each second or so. */
-constexpr std::size_t removals_kept = 4096;
+constexpr std::size_t max_removals = 4096;
 /** Bytes that an item takes on a page beside its key and value. */
-constexpr std::size_t item_overhead = 40;
+constexpr std::size_t item_overhead_bytes = 40;
 
 } // namespace
 
-void state_mirror::take(store_item const& change)
+void state_mirror::apply_change(store_item const& change)
 {
     auto const [newest, is_new] = m_newest.try_emplace(change.key, change.position);
     if (!is_new) {
@@ -28,9 +28,9 @@
     }
 }
 
-void state_mirror::forget_removals()
+void state_mirror::drop_oldest_removals()
 {
-    while (m_removed.size() > removals_kept) {
+    while (m_removed.size() > max_removals) {
         auto const oldest = m_removed.begin();
         m_complete_from = std::max(m_complete_from, oldest->first);
         m_newest.erase(oldest->second);
@@ -41,19 +41,19 @@
 
 std::vector<store_item> state_mirror::apply(std::vector<store_item> const& changes, store_position as_of)
 {
-    std::vector<store_item> taken;
+    std::vector<store_item> applied;
     for (auto const& change : changes) {
         auto const known = m_newest.find(change.key);
         if (known != m_newest.end() && change.position < known->second) {
             ++m_superseded;
             continue;
         }
-        take(change);
-        taken.push_back(change);
+        apply_change(change);
+        applied.push_back(change);
     }
-    forget_removals();
+    drop_oldest_removals();
     m_as_of = std::max(m_as_of, as_of);
-    return taken;
+    return applied;
 }
 
 std::vector<store_item> state_mirror::replace(std::vector<store_item> const& items, store_position as_of)
@@ -71,7 +71,7 @@
         if (!same)
             differences.push_back(item);
         else if (other_era)
-            take(item); // Nothing new to this VM; pages and changes are all of one era.
+            apply_change(item); // Nothing new to this VM; pages and changes are all of one era.
     }
     for (auto const& [key, item] : m_items) {
         if (!present.contains(key) && item.position <= as_of) differences.push_back({key, {}, as_of, true});
@@ -97,7 +97,7 @@
         last = changed_at;
         auto const item = m_items.find(key);
         batch.items.push_back(item == m_items.end() ? store_item{key, {}, changed_at, true} : item->second);
-        bytes += item_overhead + key.size() + batch.items.back().value.size();
+        bytes += item_overhead_bytes + key.size() + batch.items.back().value.size();
     }
     return batch;
 }
--- a/src/feed/state_publisher.cpp
+++ b/src/feed/state_publisher.cpp
@@ -7,28 +7,31 @@
 namespace {
 
 /** Longest a follower may wait for changes. */
-constexpr milliseconds longest_wait{5000};
+constexpr milliseconds max_watch_wait{5000};
 /** Age before the first copy. */
-constexpr milliseconds never{-1};
+constexpr milliseconds no_age{-1};
 /** Share of the link that followers get. The rest is for callers and their requests at backend servers: a VM on a link
  * of 20 Mbit/s that fans queries out to 129 shards hands out up to a third of it. */
-constexpr double link_share = 0.5;
+constexpr double follower_link_share = 0.5;
 /** Bytes told in one piece: 50 ms of that share on 20 Mbit/s, so that a request waits behind one of them at most. */
-constexpr std::size_t piece_bytes = 64 * 1024;
+constexpr std::size_t max_part_bytes = 64 * 1024;
 /** An answer is told for so long before it is made anew: it says how old the copy was when it was made. */
-constexpr milliseconds answer_lifetime{100};
+constexpr milliseconds response_lifetime{100};
 
 } // namespace
 
-void state_publisher::set_uplink(double bytes_per_s) { m_share = uplink_backlog(link_share * bytes_per_s); }
+void state_publisher::set_uplink(double bytes_per_s)
+{
+    m_follower_uplink = uplink_backlog(follower_link_share * bytes_per_s);
+}
 
 milliseconds state_publisher::age() const
 {
-    if (!m_source) return never;
+    if (!m_source) return no_age;
     return std::chrono::duration_cast<milliseconds>(m_hooks.now() - m_confirmed_at);
 }
 
-follower_response state_publisher::dated(store_batch batch) const
+follower_response state_publisher::with_age(store_batch batch) const
 {
     batch.age = age();
     batch.path = m_path;
@@ -38,90 +41,91 @@
 follower_response state_publisher::changes_after(store_position from) const
 {
     auto changes = m_mirror.changes_after(from);
-    return changes ? dated(std::move(*changes)) : follower_response{feed_status::gone, {}, {}};
+    return changes ? with_age(std::move(*changes)) : follower_response{feed_status::gone, {}, {}};
 }
 
-follower_response state_publisher::unchanged() const
+follower_response state_publisher::unchanged_response() const
 {
-    auto answer = dated({{}, m_mirror.as_of(), {}, {}, {}});
-    answer.body = m_hooks.encode(answer.batch);
-    return answer;
+    auto response = with_age({{}, m_mirror.as_of(), {}, {}, {}});
+    response.body = m_hooks.encode(response.batch);
+    return response;
 }
 
-void state_publisher::handle_request(request_key key, follower_request const& asked)
+void state_publisher::handle_request(request_key key, follower_request const& request)
 {
-    bool const feeds_this = std::find(m_path.begin(), m_path.end(), asked.sender) != m_path.end();
-    bool const lost = m_searching && asked.kind == feed_call_kind::freshness;
-    if (!m_source || feeds_this || lost) {
+    bool const is_upstream = std::find(m_path.begin(), m_path.end(), request.sender) != m_path.end();
+    bool const has_no_source = m_searching && request.kind == feed_call_kind::freshness;
+    if (!m_source || is_upstream || has_no_source) {
         m_hooks.respond({key}, {feed_status::unavailable, {}, {}});
         return;
     }
-    if (asked.kind == feed_call_kind::freshness) {
-        m_hooks.respond({key}, unchanged());
+    if (request.kind == feed_call_kind::freshness) {
+        m_hooks.respond({key}, unchanged_response());
         return;
     }
-    bool const waits = asked.kind == feed_call_kind::watch && !m_mirror.has_changes_after(asked.after);
+    bool const waits = request.kind == feed_call_kind::watch && !m_mirror.has_changes_after(request.after);
     if (!waits) {
-        m_turns.push_back({asked, {key}, {}, {}});
-        serve_turns();
+        m_pending.push_back({request, {key}, {}, {}});
+        send_pending();
         return;
     }
-    m_watches[asked.after].push_back(key);
-    m_hooks.run_at(m_hooks.now() + std::min(asked.wait, longest_wait), [this, key] {
+    m_watches[request.after].push_back(key);
+    m_hooks.run_at(m_hooks.now() + std::min(request.wait, max_watch_wait), [this, key] {
         // One whose turn has come meanwhile is told what changed.
-        if (forget_watch(key)) m_hooks.respond({key}, unchanged());
+        if (remove_watch(key)) m_hooks.respond({key}, unchanged_response());
     });
 }
 
-void state_publisher::make_answer(turn& of, time_point now) const
+void state_publisher::update_response(pending_response& pending, time_point now) const
 {
-    if (of.made_at != time_point{} && now < of.made_at + answer_lifetime) return;
-    bool const read = of.asked.kind == feed_call_kind::read;
-    of.answer = read ? dated(m_mirror.page_after(of.asked.after)) : changes_after(of.asked.after);
-    if (of.answer.status == feed_status::ok) of.answer.body = m_hooks.encode(of.answer.batch);
-    of.made_at = now;
+    if (pending.created_at != time_point{} && now < pending.created_at + response_lifetime) return;
+    bool const read = pending.request.kind == feed_call_kind::read;
+    pending.response =
+        read ? with_age(m_mirror.page_after(pending.request.after)) : changes_after(pending.request.after);
+    if (pending.response.status == feed_status::ok) pending.response.body = m_hooks.encode(pending.response.batch);
+    pending.created_at = now;
 }
 
-void state_publisher::tell_piece(turn& of, time_point now)
+void state_publisher::send_part(pending_response& pending, time_point now)
 {
-    make_answer(of, now);
-    auto const fitting = piece_bytes / std::max<std::size_t>(of.answer.body.size(), 1);
-    auto const told =
-        of.keys.begin() + static_cast<std::ptrdiff_t>(std::clamp<std::size_t>(fitting, 1, of.keys.size()));
-    std::vector<request_key> const keys(of.keys.begin(), told);
-    of.keys.erase(of.keys.begin(), told);
-    m_share.on_taken(of.answer.body.size() * keys.size(), now);
-    m_hooks.respond(keys, of.answer);
+    update_response(pending, now);
+    auto const max_keys = max_part_bytes / std::max<std::size_t>(pending.response.body.size(), 1);
+    auto const part_end =
+        pending.keys.begin() + static_cast<std::ptrdiff_t>(std::clamp<std::size_t>(max_keys, 1, pending.keys.size()));
+    std::vector<request_key> const keys(pending.keys.begin(), part_end);
+    pending.keys.erase(pending.keys.begin(), part_end);
+    m_follower_uplink.on_taken(pending.response.body.size() * keys.size(), now);
+    m_hooks.respond(keys, pending.response);
 }
 
-void state_publisher::serve_turns()
+void state_publisher::send_pending()
 {
-    while (!m_turns.empty()) {
+    while (!m_pending.empty()) {
         auto const now = m_hooks.now();
-        if (auto const wait = m_share.wait(now); wait > clock::duration(0)) {
-            if (std::exchange(m_turn_planned, true)) return;
+        if (auto const wait = m_follower_uplink.wait(now); wait > clock::duration(0)) {
+            if (std::exchange(m_send_scheduled, true)) return;
             m_hooks.run_at(now + wait, [this] {
-                m_turn_planned = false;
-                serve_turns();
+                m_send_scheduled = false;
+                send_pending();
             });
             return;
         }
-        tell_piece(m_turns.front(), now);
-        if (m_turns.front().keys.empty()) m_turns.pop_front();
+        send_part(m_pending.front(), now);
+        if (m_pending.front().keys.empty()) m_pending.pop_front();
     }
 }
 
 bool state_publisher::cancel(request_key key)
 {
-    for (auto turn = m_turns.begin(); turn != m_turns.end(); ++turn) {
-        if (std::erase(turn->keys, key) == 0) continue;
-        if (turn->keys.empty()) m_turns.erase(turn);
+    for (auto pending = m_pending.begin(); pending != m_pending.end(); ++pending) {
+        if (std::erase(pending->keys, key) == 0) continue;
+        if (pending->keys.empty()) m_pending.erase(pending);
         return true;
     }
-    return forget_watch(key);
+    return remove_watch(key);
 }
 
-bool state_publisher::forget_watch(request_key key)
+bool state_publisher::remove_watch(request_key key)
 {
     return std::any_of(m_watches.begin(), m_watches.end(),
                        [key](auto& each) { return std::erase(each.second, key) > 0; });
@@ -134,9 +138,9 @@
     m_confirmed_at = confirmed_at;
     for (auto& [after, keys] : std::exchange(m_watches, {})) {
         if (keys.empty()) continue;
-        m_turns.push_back({{feed_call_kind::watch, {}, after, milliseconds(0)}, std::move(keys), {}, {}});
+        m_pending.push_back({{feed_call_kind::watch, {}, after, milliseconds(0)}, std::move(keys), {}, {}});
     }
-    serve_turns();
+    send_pending();
 }
 
 } // namespace cornelspring
--- a/tests/feed_fleet.cpp
+++ b/tests/feed_fleet.cpp
@@ -7,12 +7,12 @@
 namespace {
 
 /** Time an answer of the store takes. */
-constexpr milliseconds store_time{4};
+constexpr milliseconds store_response_time{4};
 /** One way between regions, between failure domains of a region, and within one. */
-constexpr std::chrono::microseconds way[] = {std::chrono::microseconds(100), std::chrono::microseconds(1400),
-                                             std::chrono::microseconds(12000)};
+constexpr std::chrono::microseconds one_way_delay[] = {std::chrono::microseconds(100), std::chrono::microseconds(1400),
+                                                       std::chrono::microseconds(12000)};
 /** Longest turn of a process that waits for its share of a core. */
-constexpr int longest_turn_ms = 60;
+constexpr int max_scheduling_delay_ms = 60;
 /** An item costs its receiver so many times as much as its sender. */
 constexpr int receiver_factor = 6;
 
@@ -20,18 +20,18 @@
 
 /** One gateway. */
 struct feed_fleet::vm_state {
-    std::string key;                                                     ///< Store key.
-    domain_name domain;                                                  ///< Failure domain.
-    region_name region;                                                  ///< Region.
-    state_mirror mirror;                                                 ///< Its copy.
-    std::unique_ptr<state_publisher> publisher;                          ///< Answers others.
-    std::map<std::uint64_t, std::function<void(feed_response)>> waiting; ///< Questions of others by key.
-    std::unique_ptr<state_feed> feed;                                    ///< Its feed.
-    darkness dark = darkness::none;                                      ///< For everybody.
-    darkness store_dark = darkness::none;                                ///< At the store.
-    std::uint64_t call = 0;                                              ///< Present call for state.
-    time_point busy_until;                                               ///< End of the work that it has.
-    uplink_backlog link;                                                 ///< What others were told waits there.
+    std::string key;                                                              ///< Store key.
+    domain_name domain;                                                           ///< Failure domain.
+    region_name region;                                                           ///< Region.
+    state_mirror mirror;                                                          ///< Its copy.
+    std::unique_ptr<state_publisher> publisher;                                   ///< Answers others.
+    std::map<std::uint64_t, std::function<void(feed_response)>> pending_requests; ///< Questions of others by key.
+    std::unique_ptr<state_feed> feed;                                             ///< Its feed.
+    fault_mode fault = fault_mode::none;                                          ///< For everybody.
+    fault_mode store_fault = fault_mode::none;                                    ///< At the store.
+    std::uint64_t call = 0;                                                       ///< Present call for state.
+    time_point busy_until;                                                        ///< End of the work that it has.
+    uplink_backlog link; ///< What others were told waits there.
 };
 
 feed_fleet::feed_fleet(int vms, int domains, std::uint64_t seed) : m_random(seed)
@@ -56,29 +56,29 @@
     hooks.encode = encode_peer_batch;
     hooks.respond = [&vm](std::vector<request_key> const& keys, follower_response const& answer) {
         for (auto const key : keys) {
-            auto const found = vm.waiting.find(key.value());
-            if (found == vm.waiting.end()) continue;
-            auto const reply = std::move(found->second);
-            vm.waiting.erase(found);
-            reply({answer.status, "", answer.batch});
+            auto const found = vm.pending_requests.find(key.value());
+            if (found == vm.pending_requests.end()) continue;
+            auto const send_response = std::move(found->second);
+            vm.pending_requests.erase(found);
+            send_response({answer.status, "", answer.batch});
         }
     };
-    hooks.run_at = [this](time_point when, std::function<void()> task) { m_todo.at(when, std::move(task)); };
-    hooks.now = [this] { return m_todo.now(); };
+    hooks.run_at = [this](time_point when, std::function<void()> task) { m_agenda.at(when, std::move(task)); };
+    hooks.now = [this] { return m_agenda.now(); };
     vm.publisher = std::make_unique<state_publisher>(vm.mirror, std::move(hooks));
     feed_io io;
     io.fetch = [this, i, &vm](feed_call const& call, feed_io::response_handler const& done) {
         auto const number = ++vm.call;
-        deliver(i, call, [&vm, number, done](feed_response reply) {
-            if (number == vm.call) done(std::move(reply));
+        deliver(i, call, [&vm, number, done](feed_response send_response) {
+            if (number == vm.call) done(std::move(send_response));
         });
     };
     io.check_freshness = [this, i](feed_call const& call, feed_io::response_handler const& done) {
         deliver(i, call, done);
     };
-    io.now = [this] { return m_todo.now(); };
+    io.now = [this] { return m_agenda.now(); };
     io.run_at = [this](time_point when, std::function<void()> task) {
-        m_todo.at(std::max(when, m_todo.now()), std::move(task));
+        m_agenda.at(std::max(when, m_agenda.now()), std::move(task));
     };
     feed_events events;
     events.on_snapshot = [&vm](auto const& items, store_position as_of) { vm.mirror.replace(items, as_of); };
@@ -101,20 +101,20 @@
 {
     ++m_position.revision;
     m_store.apply({{key, value, m_position, false}}, m_position);
-    answer_store_watches();
+    respond_to_store_watches();
 }
 
-void feed_fleet::copy_store() { m_copy = m_store; }
+void feed_fleet::save_copy() { m_saved_copy = m_store; }
 
-void feed_fleet::return_to_copy()
+void feed_fleet::restore_copy()
 {
     std::vector<store_item> items;
-    m_position = {store_era(++m_era), m_copy.as_of().revision};
-    for (auto const& [key, item] : m_copy.items())
+    m_position = {store_era(++m_era), m_saved_copy.as_of().revision};
+    for (auto const& [key, item] : m_saved_copy.items())
         items.push_back({key, item.value, {m_position.era, item.position.revision}, false});
     m_store = state_mirror();
     m_store.replace(items, m_position);
-    m_copy = m_store;
+    m_saved_copy = m_store;
     m_watches.clear();
 }
 
@@ -125,12 +125,12 @@
     next->key = place->key;
     next->domain = place->domain;
     next->region = place->region;
-    place->dark = darkness::silent;
-    m_ended.push_back(std::exchange(place, std::move(next)));
+    place->fault = fault_mode::unreachable;
+    m_stopped_vms.push_back(std::exchange(place, std::move(next)));
     start(vm);
 }
 
-bool feed_fleet::all_know_the_store() const
+bool feed_fleet::all_match_store() const
 {
     auto const same = [this](int vm) {
         auto const& known = m_vms[static_cast<std::size_t>(vm)]->mirror.items();
@@ -144,29 +144,29 @@
     return std::all_of(all.begin(), all.end(), same);
 }
 
-std::vector<feed_fleet::vm_state*> feed_fleet::draw(double share)
+std::vector<feed_fleet::vm_state*> feed_fleet::random_vms(double share)
 {
-    std::vector<vm_state*> drawn;
+    std::vector<vm_state*> chosen;
     for (auto const& vm : m_vms)
-        drawn.push_back(vm.get());
-    std::shuffle(drawn.begin(), drawn.end(), m_random);
-    drawn.resize(static_cast<std::size_t>(share * static_cast<double>(drawn.size())));
-    return drawn;
+        chosen.push_back(vm.get());
+    std::shuffle(chosen.begin(), chosen.end(), m_random);
+    chosen.resize(static_cast<std::size_t>(share * static_cast<double>(chosen.size())));
+    return chosen;
 }
 
-void feed_fleet::darken(double share, darkness how)
+void feed_fleet::inject_fault(double share, fault_mode how)
 {
-    for (auto* vm : draw(share))
-        vm->dark = how;
+    for (auto* vm : random_vms(share))
+        vm->fault = how;
 }
 
-void feed_fleet::cut_from_store(double share, darkness how)
+void feed_fleet::disconnect_from_store(double share, fault_mode how)
 {
-    for (auto* vm : draw(share))
-        vm->store_dark = how;
+    for (auto* vm : random_vms(share))
+        vm->store_fault = how;
 }
 
-void feed_fleet::make_small(double bytes_per_ms, std::chrono::microseconds per_item)
+void feed_fleet::limit_resources(double bytes_per_ms, std::chrono::microseconds per_item)
 {
     m_bytes_per_ms = bytes_per_ms;
     m_per_item = per_item;
@@ -176,27 +176,27 @@
     }
 }
 
-clock::duration feed_fleet::transfer(vm_state& vm, std::size_t bytes)
+clock::duration feed_fleet::use_link(vm_state& vm, std::size_t bytes)
 {
-    vm.link.on_taken(bytes, m_todo.now());
-    auto const wait = vm.link.wait(m_todo.now());
+    vm.link.on_taken(bytes, m_agenda.now());
+    auto const wait = vm.link.wait(m_agenda.now());
     m_longest_link_wait = std::max(m_longest_link_wait, wait);
     return wait;
 }
 
-clock::duration feed_fleet::work(vm_state& vm, clock::duration time) const
+clock::duration feed_fleet::use_processor(vm_state& vm, clock::duration time) const
 {
-    vm.busy_until = std::max(vm.busy_until, m_todo.now()) + time;
-    return vm.busy_until - m_todo.now();
+    vm.busy_until = std::max(vm.busy_until, m_agenda.now()) + time;
+    return vm.busy_until - m_agenda.now();
 }
 
-void feed_fleet::heal()
+void feed_fleet::clear_faults()
 {
     for (auto& vm : m_vms)
-        vm->dark = vm->store_dark = darkness::none;
+        vm->fault = vm->store_fault = fault_mode::none;
 }
 
-std::string feed_fleet::known(int vm, std::string const& key) const
+std::string feed_fleet::value_at(int vm, std::string const& key) const
 {
     auto const& items = m_vms[static_cast<std::size_t>(vm)]->mirror.items();
     auto const found = items.find(key);
@@ -207,21 +207,21 @@
 {
     std::vector<int> found;
     for (std::size_t i = 0; i < m_vms.size(); ++i) {
-        if (m_vms[i]->dark == darkness::none) found.push_back(static_cast<int>(i));
+        if (m_vms[i]->fault == fault_mode::none) found.push_back(static_cast<int>(i));
     }
     return found;
 }
 
-bool feed_fleet::any_reader_live() const
+bool feed_fleet::any_store_reader_live() const
 {
     // The first gateways of the first two failure domains.
-    return m_vms[0]->dark == darkness::none || m_vms[1]->dark == darkness::none;
+    return m_vms[0]->fault == fault_mode::none || m_vms[1]->fault == fault_mode::none;
 }
 
-bool feed_fleet::all_know(std::string const& key, std::string const& value) const
+bool feed_fleet::all_have(std::string const& key, std::string const& value) const
 {
     auto const all = live();
-    return std::all_of(all.begin(), all.end(), [&](int vm) { return known(vm, key) == value; });
+    return std::all_of(all.begin(), all.end(), [&](int vm) { return value_at(vm, key) == value; });
 }
 
 milliseconds feed_fleet::time_until(std::function<bool()> const& holds, milliseconds limit)
@@ -235,17 +235,17 @@
     return taken;
 }
 
-milliseconds feed_fleet::time_until_known(std::string const& key, std::string const& value, milliseconds limit)
+milliseconds feed_fleet::time_until_all_have(std::string const& key, std::string const& value, milliseconds limit)
 {
-    return time_until([&] { return all_know(key, value); }, limit);
+    return time_until([&] { return all_have(key, value); }, limit);
 }
 
-milliseconds feed_fleet::time_until_all_known(milliseconds limit)
+milliseconds feed_fleet::time_until_all_match(milliseconds limit)
 {
-    return time_until([this] { return all_know_the_store(); }, limit);
+    return time_until([this] { return all_match_store(); }, limit);
 }
 
-milliseconds feed_fleet::oldest_copy() const
+milliseconds feed_fleet::max_copy_age() const
 {
     milliseconds oldest{0};
     for (int const i : live())
@@ -258,85 +258,86 @@
 void feed_fleet::deliver(int from, feed_call const& call, feed_io::response_handler const& done)
 {
     auto const open = std::make_shared<bool>(true);
-    auto const finish = [open, done](feed_response reply) {
+    auto const finish = [open, done](feed_response send_response) {
         if (!std::exchange(*open, false)) return;
-        done(std::move(reply));
+        done(std::move(send_response));
     };
     after(call.timeout, [finish] { finish({0, "no answer in time", {}}); });
     auto const& vm = *m_vms[static_cast<std::size_t>(from)];
-    bool const outgoing = vm.dark == darkness::none || vm.dark == darkness::refused;
+    bool const outgoing = vm.fault == fault_mode::none || vm.fault == fault_mode::refusing;
     if (!outgoing) return; // Silent or stale: nothing of its own gets through.
-    auto const turn = [this] { return milliseconds(m_random() % longest_turn_ms); };
+    auto const scheduling_delay = [this] { return milliseconds(m_random() % max_scheduling_delay_ms); };
     int distance = 2;
     if (!call.source.is_store()) {
         auto const& peer = *m_vms[static_cast<std::size_t>(index_of(call.source.peer_key))];
         distance = peer.domain == vm.domain ? 0 : peer.region == vm.region ? 1 : 2;
     }
     // A connection and the question: two round trips, less the way back of the answer.
-    auto const there = 3 * way[distance] + turn();
-    auto const back = way[distance];
-    auto const reply = [this, from, finish, back, turn, source = call.source](feed_response result) {
+    auto const there = 3 * one_way_delay[distance] + scheduling_delay();
+    auto const back = one_way_delay[distance];
+    auto const send_response = [this, from, finish, back, scheduling_delay,
+                                source = call.source](feed_response result) {
         auto const bytes = encode_peer_batch(result.batch).size();
         auto const cost = m_per_item * static_cast<int>(result.batch.items.size());
         clock::duration sending{0};
         if (!source.is_store()) {
             auto& sender = *m_vms[static_cast<std::size_t>(index_of(source.peer_key))];
-            sending = work(sender, cost / receiver_factor) + transfer(sender, bytes);
+            sending = use_processor(sender, cost / receiver_factor) + use_link(sender, bytes);
         }
         auto const received = milliseconds(static_cast<std::int64_t>(static_cast<double>(bytes) / m_bytes_per_ms));
-        after(sending + back + received, [this, from, finish, cost, turn, result = std::move(result)] {
+        after(sending + back + received, [this, from, finish, cost, scheduling_delay, result = std::move(result)] {
             auto& vm = *m_vms[static_cast<std::size_t>(from)];
-            if (vm.dark == darkness::silent) return;
-            after(work(vm, cost) + turn(), [finish, result] { finish(result); });
+            if (vm.fault == fault_mode::unreachable) return;
+            after(use_processor(vm, cost) + scheduling_delay(), [finish, result] { finish(result); });
         });
     };
-    after(there, [this, from, call, reply] {
+    after(there, [this, from, call, send_response] {
         if (call.source.is_store())
-            ask_store(from, call, reply);
+            call_store(from, call, send_response);
         else
-            ask_peer(from, call, reply);
+            call_peer(from, call, send_response);
     });
 }
 
-void feed_fleet::ask_store(int from, feed_call const& call, std::function<void(feed_response)> const& reply)
+void feed_fleet::call_store(int from, feed_call const& call, std::function<void(feed_response)> const& send_response)
 {
     auto const& vm = *m_vms[static_cast<std::size_t>(from)];
-    if (vm.store_dark == darkness::silent || vm.dark != darkness::none) return;
+    if (vm.store_fault == fault_mode::unreachable || vm.fault != fault_mode::none) return;
     ++m_store_calls;
-    if (vm.store_dark == darkness::refused) return reply({503, "", {}});
+    if (vm.store_fault == fault_mode::refusing) return send_response({503, "", {}});
     if (call.kind == feed_call_kind::read) {
         auto const from = parse_position(call.page_token).value_or(store_position());
-        after(store_time, [this, reply, from] { reply({200, "", m_store.page_after(from)}); });
+        after(store_response_time, [this, send_response, from] { send_response({200, "", m_store.page_after(from)}); });
         return;
     }
     // The store knows revisions only: one of an earlier era is taken for its own, when it has come so far again.
     store_position const known{m_position.era, call.after.revision};
-    if (known > m_position) return reply({410, "", {}});
+    if (known > m_position) return send_response({410, "", {}});
     auto changes = m_store.changes_after(known);
     bool const waits = call.kind == feed_call_kind::watch && changes && changes->items.empty();
-    if (!waits) return reply(changes ? feed_response{200, "", *changes} : feed_response{410, "", {}});
+    if (!waits) return send_response(changes ? feed_response{200, "", *changes} : feed_response{410, "", {}});
     auto const open = std::make_shared<bool>(true);
-    m_watches.push_back({known, reply, open});
-    after(call.wait, [this, open, reply] {
-        if (std::exchange(*open, false)) reply({200, "", {{}, m_position, {}, {}, {}}});
+    m_watches.push_back({known, send_response, open});
+    after(call.wait, [this, open, send_response] {
+        if (std::exchange(*open, false)) send_response({200, "", {{}, m_position, {}, {}, {}}});
     });
 }
 
-void feed_fleet::answer_store_watches()
+void feed_fleet::respond_to_store_watches()
 {
     for (auto const& watch : std::exchange(m_watches, {})) {
-        if (std::exchange(*watch.open, false)) watch.answer({200, "", *m_store.changes_after(watch.after)});
+        if (std::exchange(*watch.open, false)) watch.respond({200, "", *m_store.changes_after(watch.after)});
     }
 }
 
-void feed_fleet::ask_peer(int from, feed_call const& call, std::function<void(feed_response)> const& reply)
+void feed_fleet::call_peer(int from, feed_call const& call, std::function<void(feed_response)> const& send_response)
 {
     auto& peer = *m_vms[static_cast<std::size_t>(index_of(call.source.peer_key))];
-    if (peer.dark == darkness::silent) return;
-    if (peer.dark == darkness::refused) return reply({503, "", {}});
+    if (peer.fault == fault_mode::unreachable) return;
+    if (peer.fault == fault_mode::refusing) return send_response({503, "", {}});
     request_key const key(++m_last_key);
-    peer.waiting[key.value()] = [this, &peer, reply](feed_response const& result) {
-        if (peer.dark != darkness::silent) reply(result);
+    peer.pending_requests[key.value()] = [this, &peer, send_response](feed_response const& result) {
+        if (peer.fault != fault_mode::unreachable) send_response(result);
     };
     auto const known =
         call.kind == feed_call_kind::read ? parse_position(call.page_token).value_or(store_position()) : call.after;
--- a/tests/test_state_feed.cpp
+++ b/tests/test_state_feed.cpp
@@ -16,12 +16,12 @@
 store_position at(std::int64_t revision) { return {store_era(1), revision}; }
 
 /** @return a fleet in which everybody knows the first configuration. */
-std::unique_ptr<feed_fleet> calm_fleet(int vms, int domains, std::uint64_t seed)
+std::unique_ptr<feed_fleet> synced_fleet(int vms, int domains, std::uint64_t seed)
 {
     auto fleet = std::make_unique<feed_fleet>(vms, domains, seed);
     fleet->write("config", "1");
     fleet->run(5s);
-    REQUIRE(fleet->all_know("config", "1"));
+    REQUIRE(fleet->all_have("config", "1"));
     return fleet;
 }
 
@@ -32,26 +32,26 @@
     // A silent source is noticed after 0.8 s + 0.25 s, one that answers from an old copy after 2 s; three rounds of
     // 0.3 s and one after a pause find a live one, and the change follows within 0.6 s, over a chain of followers that
     // wait up to 60 ms for their turn.
-    constexpr milliseconds found_in{4 * 300 + 100};
-    constexpr milliseconds followed_in{600};
+    constexpr milliseconds search_bound{4 * 300 + 100};
+    constexpr milliseconds propagation_bound{600};
     // When both gateways that should read the store are dark, the heads of the other failure domains ask it, and the
     // rest must find these: two rounds with pauses more.
-    constexpr milliseconds spread_in{2 * (300 + 400)};
-    constexpr milliseconds silent_bound = milliseconds(800 + 250) + found_in + followed_in;
-    constexpr milliseconds stale_bound = milliseconds(2000) + found_in + followed_in;
+    constexpr milliseconds no_reader_bound{2 * (300 + 400)};
+    constexpr milliseconds unreachable_bound = milliseconds(800 + 250) + search_bound + propagation_bound;
+    constexpr milliseconds stale_bound = milliseconds(2000) + search_bound + propagation_bound;
     for (int const vms : {7, 78, 300, 470}) {
         int const domains = vms < 10 ? 3 : 6;
         for (double const share : {0.10, 0.35, 0.60}) {
-            for (auto const how : {darkness::silent, darkness::refused, darkness::stale}) {
+            for (auto const how : {fault_mode::unreachable, fault_mode::refusing, fault_mode::stale}) {
                 std::uint64_t const seeds = vms < 100 ? 10 : 1;
                 for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-                    auto const fleet = calm_fleet(vms, domains, seed);
-                    fleet->darken(share, how);
+                    auto const fleet = synced_fleet(vms, domains, seed);
+                    fleet->inject_fault(share, how);
                     fleet->write("config", "2");
-                    auto const taken = fleet->time_until_known("config", "2", 10s);
+                    auto const taken = fleet->time_until_all_have("config", "2", 10s);
                     INFO("vms ", vms, " share ", share, " how ", static_cast<int>(how), " seed ", seed);
-                    auto bound = how == darkness::stale ? stale_bound : silent_bound;
-                    if (!fleet->any_reader_live()) bound += spread_in;
+                    auto bound = how == fault_mode::stale ? stale_bound : unreachable_bound;
+                    if (!fleet->any_store_reader_live()) bound += no_reader_bound;
                     CHECK(taken.count() <= bound.count());
                 }
             }
@@ -62,13 +62,13 @@
 TEST_CASE("feed: gateways that the store turns away learn a change from the others as soon")
 {
     constexpr milliseconds bound{2200};
-    for (auto const how : {darkness::silent, darkness::refused}) {
+    for (auto const how : {fault_mode::unreachable, fault_mode::refusing}) {
         for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-            auto const fleet = calm_fleet(78, 6, seed);
-            fleet->cut_from_store(0.35, how);
+            auto const fleet = synced_fleet(78, 6, seed);
+            fleet->disconnect_from_store(0.35, how);
             fleet->run(1s);
             fleet->write("config", "2");
-            auto const taken = fleet->time_until_known("config", "2", 10s);
+            auto const taken = fleet->time_until_all_have("config", "2", 10s);
             INFO("how ", static_cast<int>(how), " seed ", seed);
             CHECK(taken.count() <= bound.count());
         }
@@ -77,16 +77,16 @@
 
 TEST_CASE("feed: gateways behind by thousands of changes catch up by pages, over the link of a small VM")
 {
-    auto const fleet = calm_fleet(78, 6, 1);
-    fleet->make_small(1750, 500us); // 14 Mbit/s, an eighth of a core.
-    fleet->darken(0.35, darkness::silent);
+    auto const fleet = synced_fleet(78, 6, 1);
+    fleet->limit_resources(1750, 500us); // 14 Mbit/s, an eighth of a core.
+    fleet->inject_fault(0.35, fault_mode::unreachable);
     for (int i = 0; i < many_changes; ++i) {
         fleet->write("servers/" + std::to_string(i), std::string(220, 'x'));
         if (i % 100 == 0) fleet->run(300ms);
     }
     fleet->write("config", "2");
-    fleet->heal();
-    CHECK(fleet->time_until_known("config", "2", 10s).count() <= 5000);
+    fleet->clear_faults();
+    CHECK(fleet->time_until_all_have("config", "2", 10s).count() <= 5000);
 }
 
 TEST_CASE("feed: followers of a small VM leave room on its link for its callers, also when many changes come at once")
@@ -94,8 +94,8 @@
     // A piece of 64 KB takes 26 ms on 20 Mbit/s.
     constexpr milliseconds longest_wait{60};
     for (int const vms : {78, 195, 470}) {
-        auto const fleet = calm_fleet(vms, 6, 1);
-        fleet->make_small(2500, 50us);
+        auto const fleet = synced_fleet(vms, 6, 1);
+        fleet->limit_resources(2500, 50us);
         std::mt19937 random(1);
         for (int i = 0; i < 500; ++i) {
             std::string value = R"({"service":"s)" + std::to_string(random()) + R"(","address":"10.1.)" +
@@ -106,7 +106,7 @@
         }
         fleet->write("config", "2");
         INFO("vms ", vms);
-        CHECK(fleet->time_until_known("config", "2", 20s).count() <= 5000);
+        CHECK(fleet->time_until_all_have("config", "2", 20s).count() <= 5000);
         CHECK(std::chrono::duration_cast<milliseconds>(fleet->longest_link_wait()).count() <= longest_wait.count());
     }
 }
@@ -175,8 +175,8 @@
 {
     // A configuration of 600 KB takes 0.34 s on 14 Mbit/s, and a head tells it to twelve followers over one link: 4 s,
     // if it went as it is. Its routes differ in names and figures only.
-    auto const fleet = calm_fleet(78, 6, 1);
-    fleet->make_small(1750, 500us);
+    auto const fleet = synced_fleet(78, 6, 1);
+    fleet->limit_resources(1750, 500us);
     std::mt19937 random(1);
     std::string large;
     while (large.size() < 600 * 1024) {
@@ -186,21 +186,21 @@
                  R"(,"route_type":"idempotent","attempts":2,"priority":1},)";
     }
     fleet->write("config", large);
-    CHECK(fleet->time_until_known("config", large, 20s).count() <= 4000);
+    CHECK(fleet->time_until_all_have("config", large, 20s).count() <= 4000);
 }
 
 TEST_CASE("feed: calls to the store do not grow with the number of gateways, also while some are dark")
 {
-    auto const calls_in = [](int vms, auto const& trouble) {
-        auto const fleet = calm_fleet(vms, 6, 1);
-        trouble(*fleet);
+    auto const calls_in = [](int vms, auto const& inject) {
+        auto const fleet = synced_fleet(vms, 6, 1);
+        inject(*fleet);
         auto const before = fleet->store_calls();
         fleet->run(9s);
         return fleet->store_calls() - before;
     };
     auto const calm = [](feed_fleet&) {};
-    auto const third_cut = [](feed_fleet& fleet) { fleet.cut_from_store(0.35, darkness::refused); };
-    auto const all_cut = [](feed_fleet& fleet) { fleet.cut_from_store(1, darkness::refused); };
+    auto const third_cut = [](feed_fleet& fleet) { fleet.disconnect_from_store(0.35, fault_mode::refusing); };
+    auto const all_cut = [](feed_fleet& fleet) { fleet.disconnect_from_store(1, fault_mode::refusing); };
     // Two gateways, one watch of 1.5 s each.
     CHECK(calls_in(78, calm) <= 2 * 7);
     CHECK(calls_in(470, calm) <= 2 * 7);
@@ -213,46 +213,46 @@
 
 TEST_CASE("feed: copies are as young in gateways that follow a follower")
 {
-    auto const fleet = calm_fleet(78, 6, 3);
-    fleet->cut_from_store(0.35, darkness::refused);
+    auto const fleet = synced_fleet(78, 6, 3);
+    fleet->disconnect_from_store(0.35, fault_mode::refusing);
     fleet->run(3s);
     for (int i = 0; i < 40; ++i) {
         fleet->run(250ms);
-        CHECK(fleet->oldest_copy() <= 2s + 3 * 300ms); // Others are asked after 2 s, in rounds of 0.3 s.
+        CHECK(fleet->max_copy_age() <= 2s + 3 * 300ms); // Others are asked after 2 s, in rounds of 0.3 s.
     }
 }
 
 TEST_CASE("feed: when the store is back, everybody hears of it")
 {
-    auto const fleet = calm_fleet(78, 6, 4);
-    for (auto const how : {darkness::silent, darkness::refused}) {
-        fleet->cut_from_store(1, how);
+    auto const fleet = synced_fleet(78, 6, 4);
+    for (auto const how : {fault_mode::unreachable, fault_mode::refusing}) {
+        fleet->disconnect_from_store(1, how);
         fleet->run(9s);
-        fleet->heal();
+        fleet->clear_faults();
         fleet->write("config", std::to_string(static_cast<int>(how) + 10));
-        CHECK(fleet->time_until_known("config", std::to_string(static_cast<int>(how) + 10), 10s).count() <= 2500);
+        CHECK(fleet->time_until_all_have("config", std::to_string(static_cast<int>(how) + 10), 10s).count() <= 2500);
     }
 }
 
 namespace {
 
 /** Writes @p count keys that are lost when the store returns to its copy. */
-void write_lost(feed_fleet& fleet, int count)
+void write_lost_keys(feed_fleet& fleet, int count)
 {
     for (int i = 0; i < count; ++i)
         fleet.write("lost/" + std::to_string(i), "x");
     fleet.write("config", "lost");
     fleet.run(2s);
-    REQUIRE(fleet.all_know("config", "lost"));
+    REQUIRE(fleet.all_have("config", "lost"));
 }
 
 /** The store is away for @p away and back with its copy. */
-void return_to_copy(feed_fleet& fleet, milliseconds away)
+void restore_copy(feed_fleet& fleet, milliseconds away)
 {
-    fleet.cut_from_store(1, darkness::refused);
+    fleet.disconnect_from_store(1, fault_mode::refusing);
     fleet.run(away);
-    fleet.return_to_copy();
-    fleet.heal();
+    fleet.restore_copy();
+    fleet.clear_faults();
 }
 
 /** From its return on, a store is known within this: a pause between searches, a full read and the chain of followers
@@ -267,17 +267,17 @@
         for (int const lost : {1, 5, 40}) {
             for (std::uint64_t seed = 1; seed <= 3; ++seed) {
                 INFO("vms ", vms, " lost ", lost, " seed ", seed);
-                auto const fleet = calm_fleet(vms, vms < 10 ? 3 : 6, seed);
-                fleet->copy_store();
-                write_lost(*fleet, lost);
-                return_to_copy(*fleet, 2500ms);
-                CHECK(fleet->time_until_all_known(10s).count() <= restored_bound.count());
+                auto const fleet = synced_fleet(vms, vms < 10 ? 3 : 6, seed);
+                fleet->save_copy();
+                write_lost_keys(*fleet, lost);
+                restore_copy(*fleet, 2500ms);
+                CHECK(fleet->time_until_all_match(10s).count() <= restored_bound.count());
                 fleet->write("config", "2");
-                CHECK(fleet->time_until_all_known(10s).count() <= 2500);
+                CHECK(fleet->time_until_all_match(10s).count() <= 2500);
                 // The revision that the gateways knew names something else now.
                 for (int i = 0; i < lost + 2; ++i)
                     fleet->write("again/" + std::to_string(i), "y");
-                CHECK(fleet->time_until_all_known(10s).count() <= 2500);
+                CHECK(fleet->time_until_all_match(10s).count() <= 2500);
             }
         }
     }
@@ -286,23 +286,23 @@
 TEST_CASE("feed: gateways cut off while the store returns to a copy, twice, learn what it holds when they are back")
 {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-        for (auto const how : {darkness::silent, darkness::refused, darkness::stale}) {
+        for (auto const how : {fault_mode::unreachable, fault_mode::refusing, fault_mode::stale}) {
             INFO("seed ", seed, " how ", static_cast<int>(how));
-            auto const fleet = calm_fleet(78, 6, seed);
-            fleet->copy_store();
-            write_lost(*fleet, 5);
-            fleet->darken(0.35, how);
+            auto const fleet = synced_fleet(78, 6, seed);
+            fleet->save_copy();
+            write_lost_keys(*fleet, 5);
+            fleet->inject_fault(0.35, how);
             for (int times = 0; times < 2; ++times) {
-                fleet->return_to_copy();
+                fleet->restore_copy();
                 fleet->run(1s);
                 fleet->write("config", "after " + std::to_string(times));
                 // As many revisions as before the return: a gateway that was away finds its own one again.
                 for (int i = 0; i < 5; ++i)
                     fleet->write("again/" + std::to_string(i), std::to_string(times));
             }
-            CHECK(fleet->time_until_all_known(10s).count() <= 5000);
-            fleet->heal();
-            CHECK(fleet->time_until_all_known(10s).count() <= 5000);
+            CHECK(fleet->time_until_all_match(10s).count() <= 5000);
+            fleet->clear_faults();
+            CHECK(fleet->time_until_all_match(10s).count() <= 5000);
         }
     }
 }
@@ -311,18 +311,18 @@
 {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         INFO("seed ", seed);
-        auto const fleet = calm_fleet(78, 6, seed);
-        fleet->copy_store();
-        write_lost(*fleet, 5);
+        auto const fleet = synced_fleet(78, 6, seed);
+        fleet->save_copy();
+        write_lost_keys(*fleet, 5);
         for (int vm = 0; vm < 6; ++vm)
             fleet->restart(vm); // The heads of all failure domains among them.
         fleet->run(300ms);
-        return_to_copy(*fleet, 500ms);
+        restore_copy(*fleet, 500ms);
         for (int vm = 3; vm < 9; ++vm)
             fleet->restart(vm);
         fleet->run(200ms);
         fleet->write("config", "2");
-        CHECK(fleet->time_until_all_known(10s).count() <= restored_bound.count());
+        CHECK(fleet->time_until_all_match(10s).count() <= restored_bound.count());
     }
 }
 
