--- a/src/feed/deferred_removals.cpp
+++ b/src/feed/deferred_removals.cpp
@@ -1,4 +1,4 @@
-/** @file deferred_removals.cpp Items that were missing when the store came back from an older copy. */
+/** @file deferred_removals.cpp Deferred removal of items that are missing after the store was restored. */
 #include <cornelspring/feed.hpp>
 
 #include <algorithm>
--- a/src/feed/feed_selector.cpp
+++ b/src/feed/feed_selector.cpp
@@ -1,4 +1,4 @@
-/** @file feed_selector.cpp Where to learn the store's state from. */
+/** @file feed_selector.cpp Choice of the source that a gateway reads the store's state from. */
 #include <cornelspring/feed.hpp>
 
 #include <algorithm>
@@ -6,29 +6,30 @@
 namespace cornelspring {
 namespace {
 
-/** Sources asked in the first round of a search; each further quick round asks twice as many. */
+/** Sources asked in the first round of a search; each further quick round asks twice as many as the one before. */
 constexpr std::size_t first_round_targets = 4;
-/** Sources asked in each round after the quick ones: by then the store is probably down for all, and questions cost a
- * VM with an eighth of a core time that its callers need. */
+/** Sources asked in each round after the quick ones. By then the store is probably down for all gateways, and on a VM
+ * with an eighth of a core freshness checks take processor time that its callers need. */
 constexpr std::size_t later_round_targets = 8;
-/** A gateway that need not read the store asks it from this round on: two rounds found nobody. */
+/** A gateway that is not a leader asks the store from this round on, after two rounds without a source. */
 constexpr int first_store_round = 2;
-/** Of the gateways of one failure domain, so many ask the store in such a round: when it is down for all, calls to it
- *  must not grow with the number of VMs. */
+/** Average number of gateways of one failure domain that ask the store in such a round. It is fixed so that the calls
+ * to a store that is down do not grow with the number of VMs. */
 constexpr double store_searchers_per_domain = 3;
-/** A source that failed is asked for proof after this: a VM that restarts needs about as long to be current again. */
+/** A source that failed gets a freshness check after this: a VM that restarts needs about as long to be current again.
+ */
 constexpr std::chrono::seconds first_recheck_delay{3};
-/** Most doublings of that pause: one that stays dark is asked each 12 s. */
+/** Most doublings of that delay: a source that stays unreachable is checked each 12 s. */
 constexpr int max_delay_doublings = 2;
 
-/** Heads of failure domains that read the store: two, so that the loss of one VM is not felt. With one in each
- *  failure domain the calls to the store would grow with their number. */
+/** Number of leaders that read the store. There are two, so that the loss of one VM does not interrupt reading. If
+ * every leader read it, the calls to the store would grow with the number of failure domains. */
 constexpr std::size_t max_store_readers = 2;
 
-/** Heads of failure domains. */
+/** Leaders of failure domains. */
 using leader_list = std::vector<member_map::const_iterator>;
 
-/** @return the heads of all failure domains, the largest gateways that stay, in key order. */
+/** @return the leaders of all failure domains in key order: the largest gateway of each that is not stopping. */
 leader_list leaders_of(member_map const& members)
 {
     std::map<domain_name, member_map::const_iterator> by_domain;
@@ -44,7 +45,7 @@
     return leaders;
 }
 
-/** @return the head of @p domain among @p heads, or their end. */
+/** @return the leader of @p domain among @p leaders, or their end. */
 leader_list::const_iterator find_domain(leader_list const& leaders, domain_name const& domain)
 {
     return std::find_if(leaders.begin(), leaders.end(), [&](auto leader) { return leader->second.domain == domain; });
@@ -53,7 +54,7 @@
 /** @return a gateway as a source. */
 feed_source source_of(member_map::value_type const& member) { return {member.first, member.second.peer_address}; }
 
-/** @return how far @p member is, for the order in which it is asked. */
+/** @return the distance of @p member for the order of candidates: 0 in the failure domain, 1 in the region, else 2. */
 int distance(gateway_member const& member, feed_selector_settings const& settings)
 {
     if (member.domain == settings.domain) return 0;
@@ -114,8 +115,9 @@
     if (m_found->is_store()) return m_found;
     auto const known = members.find(m_found->peer_key);
     if (known != members.end()) return known->second.stopping ? std::nullopt : m_found;
-    // A seed has no key in the store. It serves while no other gateway is registered, as after an outage in which all
-    // registrations lapsed but this VM's: found and turned down by turns, it kept an old configuration for 4 s.
+    // A seed has no registration in the store. It is used while no other gateway is registered, for example after an
+    // outage in which all registrations but this VM's lapsed. When seeds were rejected then, this VM found and rejected
+    // one again and again, and kept an old configuration for 4 s.
     bool const alone =
         std::all_of(members.begin(), members.end(), [this](auto const& each) { return each.first == m_settings.self; });
     return alone ? m_found : std::nullopt;
@@ -137,12 +139,12 @@
 
 std::vector<feed_source> feed_selector::candidates(member_map const& members)
 {
-    /** A gateway with its place in the order. */
+    /** A gateway with its sort keys. */
     struct ranked_candidate {
-        bool tried;                 ///< It failed, or was asked in this search.
-        std::size_t rank_in_domain; ///< Its number within its failure domain: domains take turns.
-        int distance;               ///< Near ones first.
-        feed_source source;         ///< Gateway.
+        bool tried;                 ///< It failed, or was asked in this search: sorted last.
+        std::size_t rank_in_domain; ///< Index within its failure domain, so that failure domains alternate.
+        int distance;               ///< See distance().
+        feed_source source;         ///< The gateway.
     };
     std::vector<member_map::const_iterator> shuffled;
     for (auto each = members.begin(); each != members.end(); ++each) {
--- a/src/feed/peer_codec.cpp
+++ b/src/feed/peer_codec.cpp
@@ -1,6 +1,6 @@
 /**
- * @file peer_codec.cpp Calls between gateways, which mirror the reads and watches of the store. Answers are deflated:
- * the link of the gateway that others follow is what bounds how soon all of them know a change.
+ * @file peer_codec.cpp Calls between gateways, which mirror the reads and watches of the store. Responses are deflated,
+ * because the link of the gateway that others follow limits how soon all of them receive a change.
  */
 #include <cornelspring/feed.hpp>
 
@@ -12,9 +12,9 @@
 
 using nlohmann::json;
 
-/** Answers below this size go as they are: most say that nothing has changed, in some 60 bytes. */
+/** Smaller responses are not deflated: most have no changes and take some 60 bytes. */
 constexpr std::size_t min_deflate_bytes = 512;
-/** Largest answer that is taken; a configuration takes 1 MiB at most, beside a page of other items. */
+/** Largest response accepted after inflating; a configuration has 1 MiB at most, plus a page of other items. */
 constexpr std::size_t max_response_bytes = 4 << 20;
 
 /** @return @p bytes deflated. */
@@ -23,14 +23,14 @@
     auto size = compressBound(bytes.size());
     std::vector<std::uint8_t> out(size);
     if (compress2(out.data(), &size, bytes.data(), bytes.size(), Z_BEST_SPEED) != Z_OK) {
-        throw error(error_kind::internal, "cannot deflate an answer to a gateway.", "Give the process more memory.");
+        throw error(error_kind::internal, "cannot deflate a response to a gateway.", "Give the process more memory.");
     }
     out.resize(size);
     return out;
 }
 
-/** @return the answer in @p fields, which says how long it is and holds it deflated.
- *  @throw error bad_request when it is not what it says. */
+/** @return the response in @p fields, which has its inflated size and the deflated bytes.
+ *  @throw error bad_request when it cannot be inflated, or not to that size. */
 json inflate_response(json const& fields)
 {
     auto const& deflated = fields.at("deflated").get_binary();
@@ -39,11 +39,11 @@
     std::vector<std::uint8_t> out(size);
     bool const complete = uncompress(out.data(), &size, deflated.data(), deflated.size()) == Z_OK && size == expected;
     if (complete) return json::from_cbor(out);
-    throw error(error_kind::bad_request, "a gateway's answer cannot be inflated.",
+    throw error(error_kind::bad_request, "a gateway's response cannot be inflated.",
                 "Gateways of one fleet must run the same release.");
 }
 
-/** @return the batch in an answer. @throw nlohmann::json::exception or error when it is malformed. */
+/** @return the batch in a response. @throw nlohmann::json::exception or error when it is malformed. */
 store_batch decode_peer_batch(http_response const& response)
 {
     store_batch batch;
--- a/src/feed/state_feed.cpp
+++ b/src/feed/state_feed.cpp
@@ -1,4 +1,4 @@
-/** @file state_feed.cpp A current copy of the store, read from it or from another gateway. */
+/** @file state_feed.cpp Keeps the local copy of the store current, from the store or from a peer gateway. */
 #include <cornelspring/feed.hpp>
 
 #include <algorithm>
@@ -6,48 +6,53 @@
 namespace cornelspring {
 namespace {
 
-/** Longest wait for a page of the store, which answers in milliseconds when it is well. */
+/** Time-out for a page from the store, which normally responds within milliseconds. */
 constexpr milliseconds store_read_timeout{1200};
-/** Longest wait for a page from another gateway: 30 ms on the link of a small VM, more while it is busy. */
+/** Time-out for a page from a peer gateway: a page takes 30 ms on the link of a small VM, more while it is busy. */
 constexpr milliseconds peer_read_timeout{1500};
 /**
- * How long a watch waits at the store. A watch that is under way while the store drops its history may hear nothing of
- * later changes: with 10 s it once missed a configuration for all of them. Half of the shortest time in which a
- * configuration must be in force leaves the other half for reading and passing it on.
+ * How long a watch waits at the store. A watch in flight while the store drops its history may receive no later
+ * changes: with a wait of 10 s, a configuration was once missed for all of that time. This is half of the shortest time
+ * in which a configuration must be in force; the other half is for reading it and passing it on.
  */
 constexpr milliseconds store_watch_wait{1500};
-/** How long a watch waits at another gateway: short, since it costs little and shows soon that the gateway hangs. */
+/** How long a watch waits at a peer gateway: short, since it costs little and soon shows that a gateway is
+ * unresponsive. */
 constexpr milliseconds peer_watch_wait{800};
-/** Time a watch may be late before it counts as lost. */
+/** Time beyond its wait after which a watch times out. */
 constexpr milliseconds watch_margin{900};
-/** Time a call may be late before others are asked at the same time: two round trips between regions, and a process
- *  that waits for its turn on a tenth of a core. It doubles with each source found in vain: an answer may simply be
- * large (a configuration with hundreds of routes more), and one that is given up and asked for anew never arrives. */
+/** Time a call may be late before a search starts alongside it: two round trips between regions, and the scheduling
+ * delay of a process on a tenth of a core. It doubles with each source that was found and then did not respond: the
+ * response may just be large (a configuration with hundreds of additional routes), and if the call were cancelled and
+ * repeated each time, the response would never arrive. */
 constexpr milliseconds late_call_delay{250};
 /** Most doublings of that time. */
 constexpr int max_late_doublings = 2;
-/** Length of a round of a search: most answers of gateways that are well have come then. */
+/** Duration of a search round: most gateways that work have responded by then. */
 constexpr milliseconds round_duration{300};
-/** An answer to the question for proof counts so long, also when other sources are being asked already: the store may
- * be slow, and regions far apart. */
+/** Time-out of a freshness check. It is longer than a round, since the store may be slow and regions far apart; a
+ * response counts even when the next round has started. */
 constexpr milliseconds freshness_timeout{1200};
-/** A copy that was not confirmed for so long makes this VM ask others: a watch of the store is answered each 1.5 s. */
+/** A source whose copy was not confirmed for this long makes this VM search: the store responds to a watch each 1.5 s.
+ */
 constexpr milliseconds max_confirmed_age{2000};
-/** A copy proves that its holder hears of changes when it was confirmed later than this VM's by so much: neighbours
- * that have lost the same source hold copies of the same age, give or take the time an answer takes. */
+/** A source found by a search must have a copy younger than the local one by at least this much. Gateways that lost the
+ * same source have copies of the same age, apart from the time a response takes, and cannot help each other. */
 constexpr milliseconds min_age_difference{200};
-/** A copy this young needs no younger one: it says nothing against copies of about the same age. */
+/** If the local copy is younger than this, a source need not have a younger one. */
 constexpr milliseconds recent_age{600};
-/** First pause after these; doubles up to the longest. */
+/** First pause between rounds, after the quick ones; it doubles up to the longest. */
 constexpr milliseconds first_round_pause{100};
-/** Longest pause between rounds: a store that returns is noticed within it. */
+/** Longest pause between rounds: a store that is reachable again is detected within it. */
 constexpr milliseconds max_round_pause{400};
-/** Shortest round, so that refusals do not lead to many questions at once. */
+/** Shortest duration of a round, so that immediate rejections do not cause many checks at once. */
 constexpr milliseconds min_round_duration{50};
-/** Shortest time between two watches of the store, so that changes in quick succession are fetched together. */
+/** Pause after changes from the store before the next watch, so that changes in quick succession are fetched together.
+ */
 constexpr milliseconds min_store_watch_interval{250};
-/** Time from a full read of the store to the first watch. When all VMs start they register within half a second; a VM
- * that waits hears of all of them in one answer and follows one from then on, in place of reading the store again. */
+/** Time from a full read of the store to the first watch. When all VMs start at once, they register within half a
+ * second. After this delay one watch returns all of the registrations, and the VM can follow another gateway from then
+ * on instead of reading the store again. */
 constexpr milliseconds first_watch_delay{400};
 
 } // namespace
@@ -58,69 +63,69 @@
     feed_io io;                             ///< Outside calls.
     feed_events events;                     ///< Hooks.
     bool is_synced = false;                 ///< A full read is complete.
-    bool needs_read = true;                 ///< A full read is to be made.
-    store_position position;                ///< Up to where changes are known.
-    time_point confirmed_at;                ///< When the copy was current for certain.
-    time_point source_confirmed_at;         ///< When the present source's copy was, by its own word.
-    bool call_in_flight = false;            ///< The call for state is under way.
-    std::optional<feed_source> last_source; ///< Where the last call for state went.
-    std::uint64_t call_number = 0;          ///< Tells replies to abandoned calls apart.
-    std::vector<store_item> pages;          ///< Items of the full read under way.
-    std::string next_page;                  ///< Where its next page begins; empty: the first.
+    bool needs_read = true;                 ///< A full read must be made.
+    store_position position;                ///< Position of the local copy.
+    time_point confirmed_at;                ///< When the local copy was last known to equal the store.
+    time_point source_confirmed_at;         ///< The same for the current source's copy, as the source stated.
+    bool call_in_flight = false;            ///< A read or a watch is in flight.
+    std::optional<feed_source> last_source; ///< Source of the last read or watch.
+    std::uint64_t call_number = 0;          ///< Identifies responses to cancelled calls.
+    std::vector<store_item> pages;          ///< Items of the full read in progress.
+    std::string next_page;                  ///< Token of its next page; empty: the first.
     store_position first_position;          ///< Position of its first page.
-    bool searching = false;                 ///< A search is under way.
-    std::uint64_t search_number = 0;        ///< Tells replies of earlier searches apart.
+    bool searching = false;                 ///< A search is in progress.
+    std::uint64_t search_number = 0;        ///< Identifies responses of earlier searches.
     int round = 0;                          ///< Round of the search.
-    std::size_t pending_checks = 0;         ///< Questions of the round without a reply.
-    time_point round_started_at;            ///< When the round began.
-    bool recheck_in_flight = false;         ///< The preferred source is being asked for proof.
-    bool awaiting_first_response = false;   ///< A search found the source, and it has not answered yet.
-    int sources_without_response = 0;       ///< Sources found since one has answered.
+    std::size_t pending_checks = 0;         ///< Checks of the round without a response.
+    time_point round_started_at;            ///< When the round started.
+    bool recheck_in_flight = false;         ///< A freshness check of the preferred source is in flight.
+    bool awaiting_first_response = false;   ///< A search found the source; it has not responded to a call yet.
+    int sources_without_response = 0;       ///< Sources found by searches since one last responded to a call.
 
     impl(feed_selector s, feed_io i, feed_events e) : selector(std::move(s)), io(std::move(i)), events(std::move(e)) {}
 
-    /** Makes the next call for state, or searches a source for it. */
+    /** Makes the next read or watch, or searches for a source. */
     void start_next_call();
-    /** Makes the next call after a wait. */
+    /** Makes the next call after @p wait. */
     void schedule_next_call(milliseconds wait);
-    /** @return the call for state to @p source. */
+    /** @return the next read or watch for @p source. */
     feed_call state_call(feed_source const& source) const;
-    /** Asks others when the call is late, or the source's copy has become old meanwhile. */
+    /** Schedules a search in case the call is late, or the source's copy becomes too old during it. */
     void schedule_late_check(feed_call const& call, std::uint64_t number);
-    /** Takes in the reply of a call for state. */
+    /** Handles the response to a read or a watch. */
     void handle_response(feed_source const& source, feed_response const& response);
-    /** Takes in a page of a full read. */
+    /** Handles a page of a full read. */
     void handle_page(feed_source const& source, store_batch const& batch);
-    /** Takes in changes. */
+    /** Handles changes. */
     void handle_changes(feed_source const& source, store_batch const& batch);
-    /** Notes what a source's answer says of the age of the copy. */
+    /** Updates the time at which the local copy is confirmed, from the age in a response. */
     void update_confirmed(feed_source const& source, store_batch const& batch);
-    /** Notes that a source failed. */
+    /** Reports that a source failed. */
     void report_failure(feed_source const& source, char const* reason);
 
-    /** Begins to search another source, if no search is under way. */
+    /** Starts a search for another source, if none is in progress. */
     void search();
-    /** Asks the sources of a round. */
+    /** Starts a round: checks the freshness of its sources. */
     void start_round();
-    /** Ends a round; the next one follows. */
+    /** Finishes a round and schedules the next one. */
     void finish_round(std::uint64_t number, int finished_round);
-    /** @return the question for proof to @p source. */
+    /** @return the freshness check for @p source. */
     feed_call freshness_call(feed_source const& source) const;
-    /** @return why @p reply does not prove that its sender is current; null: it does. */
+    /** @return why the sender of @p response cannot be a source; null when it can. */
     char const* rejection_reason(feed_response const& response) const;
-    /** @return whether a copy of that age proves that its holder hears of changes which this VM may have missed. */
+    /** @return whether a copy of that age shows that its holder receives changes which this VM may have missed. */
     bool is_usefully_fresh(milliseconds age) const;
-    /** Begins or ends a search. */
+    /** Sets whether a search is in progress. */
     void set_searching(bool on);
-    /** Reports an answer of a source that leaves the copy as current as the source's. */
+    /** Reports that a response was applied, after which the local copy is as current as the source's. */
     void report_confirmed(feed_source const& source, store_batch const& batch);
-    /** Takes in the reply to a question of a search. */
+    /** Handles the response to a freshness check of a search. */
     void handle_freshness(feed_source const& source, feed_response const& response, std::uint64_t number, int of_round);
-    /** Asks the preferred source for proof, when it failed and its pause is over. */
+    /** Checks the freshness of the preferred source, if it failed and the check is due. */
     void recheck_preferred();
 };
 
-// ---- State ----
+// ---- Reading and watching ----
 
 feed_call state_feed::impl::state_call(feed_source const& source) const
 {
@@ -157,7 +162,7 @@
 
 void state_feed::impl::schedule_late_check(feed_call const& call, std::uint64_t number)
 {
-    // A full read takes a while on a small link; begun anew elsewhere, it would never end.
+    // A full read takes a while on a slow link; if it were started again from another source, it would never finish.
     if (call.kind == feed_call_kind::read) return;
     auto const allowed_delay = late_call_delay * (1 << std::min(sources_without_response, max_late_doublings));
     auto const late_at = io.now() + call.wait + allowed_delay;
@@ -177,10 +182,10 @@
 {
     source_confirmed_at = io.now() - batch.age;
     auto const unconfirmed_for = std::chrono::duration_cast<milliseconds>(io.now() - confirmed_at);
-    // Before the last page, the copy is older than the sender's.
+    // Before the last page, the local copy is older than the sender's.
     if (batch.next_page_token.empty()) confirmed_at = std::max(confirmed_at, source_confirmed_at);
     if (batch.age > max_confirmed_age) {
-        search(); // It is followed on meanwhile: nothing better is known.
+        search(); // The source is still used meanwhile: no better one is known.
         return;
     }
     sources_without_response = 0;
@@ -211,7 +216,8 @@
     bool const continues =
         needs_read ? next_page.empty() || as_of.era == first_position.era : as_of.era == position.era;
     if (!continues) {
-        // The store came back from an older copy: no change says what it lost, and revisions name other changes.
+        // The store was restored from an older copy: no change lists what was lost, and the revisions were assigned
+        // again to other changes.
         needs_read = true;
         next_page.clear();
         start_next_call();
@@ -228,7 +234,7 @@
 {
     bool const first = next_page.empty();
     if (first) pages.clear();
-    // Pages are no snapshot: changes made between them are found by watching from the first page on.
+    // Pages are not a snapshot: changes made between them are fetched by watching from the first page's position.
     if (first) first_position = batch.as_of;
     pages.insert(pages.end(), batch.items.begin(), batch.items.end());
     next_page = batch.next_page_token;
@@ -269,7 +275,7 @@
 char const* state_feed::impl::rejection_reason(feed_response const& response) const
 {
     if (response.status == 0) return response.reason;
-    if (response.status == feed_status::gone) return nullptr; // The store answers; its history must be read anew.
+    if (response.status == feed_status::gone) return nullptr; // The store works; a full read is needed.
     if (response.status != feed_status::ok) return "refused";
     return response.batch.as_of < position ? "its copy is older" : nullptr;
 }
@@ -284,7 +290,7 @@
 void state_feed::impl::set_searching(bool on)
 {
     searching = on;
-    // Until the source that was found has answered, this VM vouches for nothing.
+    // Until the source that was found has responded to a call, this VM must not pass freshness checks.
     events.on_search_changed(on || awaiting_first_response);
 }
 
@@ -337,14 +343,16 @@
     auto const* reason = rejection_reason(response);
     if (reason != nullptr) report_failure(source, reason);
     bool const is_current_search = searching && number == search_number;
-    // One whose copy is old has not failed: when the store is down for all, it is followed on and hears of its return.
+    // A source whose copy is old has not failed: if the store is down for all, it stays in use, and receives changes
+    // again when the store is back.
     if (reason != nullptr || !is_usefully_fresh(response.batch.age)) {
         if (is_current_search && of_round == round && --pending_checks == 0) finish_round(number, of_round);
         return;
     }
     if (!is_current_search) return;
     if (call_in_flight && last_source == source) {
-        set_searching(false); // Its answer is on the way: the source lives, and asked anew it would only begin again.
+        // The source works, and its response is on the way; a new call would only start over.
+        set_searching(false);
         return;
     }
     awaiting_first_response = true;
@@ -354,14 +362,14 @@
     source_confirmed_at = io.now() - response.batch.age;
     if (last_source && last_source != source)
         report_failure(*last_source, call_in_flight ? "late" : "its copy was not confirmed lately");
-    // A late call is given up. A reply of it that is on its way is not needed: this source knows as much.
+    // Cancels a late call. Its response is not needed any more: the new source is at least as current.
     ++call_number;
     call_in_flight = false;
     next_page.clear();
     if (source.is_store() && !needs_read) {
         last_source = source;
-        handle_response(source,
-                        response); // The store proves that it is current by its changes: there is nothing more to ask.
+        // The store's response to a freshness check has the changes: no further call is needed.
+        handle_response(source, response);
         return;
     }
     start_next_call();
--- a/src/feed/state_mirror.cpp
+++ b/src/feed/state_mirror.cpp
@@ -1,12 +1,13 @@
-/** @file state_mirror.cpp A copy of the store's items, and what followers are told of its changes. */
+/** @file state_mirror.cpp Local copy of the store's items, and the changes of it that followers receive. */
 #include <cornelspring/feed.hpp>
 
 namespace cornelspring {
 namespace {
 
-/** Removals kept for followers: those of several seconds of the largest reshard; a follower asks each second or so. */
+/** Removals kept for followers: those of several seconds of the largest reshard; a follower sends a request about each
+ * second. */
 constexpr std::size_t max_removals = 4096;
-/** Bytes that an item takes on a page beside its key and value. */
+/** Bytes that an item takes on a page in addition to its key and value. */
 constexpr std::size_t item_overhead_bytes = 40;
 
 } // namespace
@@ -61,7 +62,7 @@
     bool const other_era = as_of.era != m_as_of.era;
     if (other_era || m_as_of.revision == 0) m_complete_from = as_of;
     std::set<std::string> present;
-    // Followers get the differences as changes: each of them reading everything again would fill a small VM's link.
+    // Followers get the differences as changes: a full read by each of them would fill a small VM's link.
     std::vector<store_item> differences;
     for (auto const& item : items) {
         present.insert(item.key);
@@ -71,7 +72,7 @@
         if (!same)
             differences.push_back(item);
         else if (other_era)
-            apply_change(item); // Nothing new to this VM; pages and changes are all of one era.
+            apply_change(item); // The value is unchanged, but all items must have a position in the new era.
     }
     for (auto const& [key, item] : m_items) {
         if (!present.contains(key) && item.position <= as_of) differences.push_back({key, {}, as_of, true});
@@ -88,7 +89,7 @@
     for (auto each = m_by_change.lower_bound({{from.era, from.revision + 1}, {}}); each != m_by_change.end(); ++each) {
         auto const& [changed_at, key] = *each;
         if (!with_removals && m_removed.contains(*each)) continue;
-        // All changes of one revision are on one page.
+        // A page never ends between two changes of one revision.
         if (bytes >= page_bytes && changed_at != last) {
             batch.as_of = last;
             batch.next_page_token = last.to_string();
@@ -116,7 +117,7 @@
 store_batch state_mirror::page_after(store_position from) const
 {
     auto batch = page(from, false);
-    batch.as_of = m_as_of; // Changes made meanwhile are found by watching from the first page's position on.
+    batch.as_of = m_as_of; // The reader gets changes made between the pages by watching from the first page's position.
     return batch;
 }
 
--- a/src/feed/state_publisher.cpp
+++ b/src/feed/state_publisher.cpp
@@ -1,4 +1,4 @@
-/** @file state_publisher.cpp What the gateways that follow this one are told. */
+/** @file state_publisher.cpp Responses to the gateways that follow this one. */
 #include <cornelspring/feed.hpp>
 
 #include <algorithm>
@@ -6,16 +6,16 @@
 namespace cornelspring {
 namespace {
 
-/** Longest a follower may wait for changes. */
+/** Longest time that a follower's watch may wait for changes. */
 constexpr milliseconds max_watch_wait{5000};
-/** Age before the first copy. */
+/** Age before the first full read. */
 constexpr milliseconds no_age{-1};
-/** Share of the link that followers get. The rest is for callers and their requests at backend servers: a VM on a link
- * of 20 Mbit/s that fans queries out to 129 shards hands out up to a third of it. */
+/** Share of the link for followers. The rest is for responses to callers and for their requests to backend servers: a
+ * VM on a link of 20 Mbit/s that fans queries out to 129 shards uses up to a third of the link for these. */
 constexpr double follower_link_share = 0.5;
-/** Bytes told in one piece: 50 ms of that share on 20 Mbit/s, so that a request waits behind one of them at most. */
+/** Bytes sent in one part: 50 ms of that share on 20 Mbit/s, so that a request waits behind one part at most. */
 constexpr std::size_t max_part_bytes = 64 * 1024;
-/** An answer is told for so long before it is made anew: it says how old the copy was when it was made. */
+/** A response older than this is made again before it is sent, because it states the age of the copy. */
 constexpr milliseconds response_lifetime{100};
 
 } // namespace
@@ -71,7 +71,7 @@
     }
     m_watches[request.after].push_back(key);
     m_hooks.run_at(m_hooks.now() + std::min(request.wait, max_watch_wait), [this, key] {
-        // One whose turn has come meanwhile is told what changed.
+        // If changes were queued for this watch meanwhile, it gets those instead.
         if (remove_watch(key)) m_hooks.respond({key}, unchanged_response());
     });
 }
--- a/src/feed/store_position.cpp
+++ b/src/feed/store_position.cpp
@@ -1,4 +1,4 @@
-/** @file store_position.cpp Positions in the store's history as text. */
+/** @file store_position.cpp Conversion of positions in the store's history to and from text. */
 #include <cornelspring/feed.hpp>
 
 #include <charconv>
