--- a/include/cornelspring/state.hpp
+++ b/include/cornelspring/state.hpp
@@ -119,7 +119,7 @@
     /** Replicas by service and index version, rebuilt by build_routes(); queries only look it up. */
     std::map<std::pair<std::string, std::int64_t>, shard_replicas> routing;
     /** Rebuilds @c routing from the services and back ends; called once per change, not per query. */
-    void build_routes();
+    void build_routing();
     /**
      * @return back ends of @p service that hold @p shard at @p version and are not draining, in name order.
      * @param service service name. @param shard shard. @param version pinned version.
@@ -141,16 +141,16 @@
      * @param kvs every key under key_prefix. @param at the read's revision. @param cluster the store's cluster.
      * @return false (and nothing changes) when @p at is older than the revision held of the same cluster.
      */
-    bool reset(std::vector<key_value> const& kvs, std::int64_t at, cluster_id const& cluster);
+    bool reset(std::vector<key_value> const& kvs, std::int64_t revision, cluster_id const& cluster);
     /**
      * Applies watch events. @param events changes, oldest first. @param at the store revision they lead to.
      * @return false when nothing newer than the held revision was in them.
      */
-    bool apply(std::vector<watch_event> const& events, std::int64_t at);
+    bool apply(std::vector<watch_event> const& events, std::int64_t revision);
 
 private:
     /** Applies one key change to @p snapshot. */
-    static void apply_one(config_snapshot& snapshot, watch_event const& event);
+    static void apply_event(config_snapshot& snapshot, watch_event const& event);
 
     mutable std::mutex m_mutex;                                                             ///< Guards m_current.
     std::shared_ptr<config_snapshot const> m_current = std::make_shared<config_snapshot>(); ///< Snapshot.
--- a/src/feed/state_feed.cpp
+++ b/src/feed/state_feed.cpp
@@ -49,7 +49,7 @@
 constexpr milliseconds min_round_duration{50};
 /** Pause after changes from the store before the next watch, so that changes in quick succession are fetched together.
  */
-constexpr milliseconds min_store_watch_interval{250};
+constexpr milliseconds store_change_pause{250};
 /** Time from a full read of the store to the first watch. When all VMs start at once, they register within half a
  * second. After this delay one watch returns all of the registrations, and the VM can follow another gateway from then
  * on instead of reading the store again. */
@@ -262,7 +262,7 @@
     report_confirmed(source, batch);
     bool const pause = source.is_store() && !batch.items.empty();
     if (!pause) return start_next_call();
-    schedule_next_call(min_store_watch_interval);
+    schedule_next_call(store_change_pause);
 }
 
 // ---- Search ----
--- a/src/state/config_view.cpp
+++ b/src/state/config_view.cpp
@@ -18,7 +18,7 @@
     return m_current;
 }
 
-void config_view::apply_one(config_snapshot& snapshot, watch_event const& event)
+void config_view::apply_event(config_snapshot& snapshot, watch_event const& event)
 {
     std::string const member_id = after_prefix(event.kv.key, member_prefix);
     if (!member_id.empty()) {
@@ -60,32 +60,32 @@
     }
 }
 
-bool config_view::reset(std::vector<key_value> const& kvs, std::int64_t at, cluster_id const& cluster)
+bool config_view::reset(std::vector<key_value> const& kvs, std::int64_t revision, cluster_id const& cluster)
 {
-    auto fresh = std::make_shared<config_snapshot>();
-    fresh->revision = at;
-    fresh->cluster = cluster;
+    auto read_snapshot = std::make_shared<config_snapshot>();
+    read_snapshot->revision = revision;
+    read_snapshot->cluster = cluster;
     for (auto const& kv : kvs)
-        apply_one(*fresh, {false, kv});
-    fresh->build_routes();
+        apply_event(*read_snapshot, {false, kv});
+    read_snapshot->build_routing();
     std::lock_guard lock(m_mutex);
-    if (cluster == m_current->cluster && at < m_current->revision) return false;
-    m_current = std::move(fresh);
+    if (cluster == m_current->cluster && revision < m_current->revision) return false;
+    m_current = std::move(read_snapshot);
     return true;
 }
 
-bool config_view::apply(std::vector<watch_event> const& events, std::int64_t at)
+bool config_view::apply(std::vector<watch_event> const& events, std::int64_t revision)
 {
     std::lock_guard lock(m_mutex);
     auto next = std::make_shared<config_snapshot>(*m_current);
     bool changed = false;
     for (auto const& event : events) {
         if (event.kv.mod_revision <= m_current->revision) continue;
-        apply_one(*next, event);
+        apply_event(*next, event);
         changed = true;
     }
-    if (changed) next->build_routes();
-    if (at > next->revision) next->revision = at;
+    if (changed) next->build_routing();
+    if (revision > next->revision) next->revision = revision;
     if (!changed && next->revision == m_current->revision) return false;
     m_current = std::move(next);
     return changed;
--- a/src/state/resources.cpp
+++ b/src/state/resources.cpp
@@ -13,17 +13,17 @@
 constexpr std::int32_t max_shards = 4096;
 
 /** Throws a bad_request error about @p where. */
-[[noreturn]] void refuse(std::string const& where, std::string const& rule)
+[[noreturn]] void reject(std::string const& where, std::string const& rule)
 {
     throw error(error_kind::bad_request, where + " " + rule + ".", "Correct the resource and apply it again.");
 }
 
 /** Refuses fields of @p spec that are not in @p allowed. */
-void only_fields(nlohmann::json const& spec, std::set<std::string> const& allowed, std::string const& where)
+void reject_unknown_fields(nlohmann::json const& spec, std::set<std::string> const& allowed, std::string const& where)
 {
-    if (!spec.is_object()) refuse(where, "spec must be an object");
+    if (!spec.is_object()) reject(where, "spec must be an object");
     for (auto const& [key, value] : spec.items()) {
-        if (allowed.count(key) == 0) refuse(where + " field '" + key + "'", "is not known");
+        if (allowed.count(key) == 0) reject(where + " field '" + key + "'", "is not known");
     }
 }
 
@@ -34,14 +34,14 @@
     try {
         return spec[key].get<T>();
     } catch (nlohmann::json::exception const&) {
-        refuse(where + " field '" + key + "'", "has the wrong type");
+        reject(where + " field '" + key + "'", "has the wrong type");
     }
 }
 
 /** @return the field @p key, which must be present. */
 template <class T> T required(nlohmann::json const& spec, std::string const& key, std::string const& where)
 {
-    if (!spec.contains(key)) refuse(where + " field '" + key + "'", "is required");
+    if (!spec.contains(key)) reject(where + " field '" + key + "'", "is required");
     return field<T>(spec, key, T{}, where);
 }
 
@@ -52,27 +52,27 @@
         !name.empty() && name.size() <= max_name_length && std::all_of(name.begin(), name.end(), [](char c) {
             return std::isalnum(static_cast<unsigned char>(c)) != 0 || c == '-' || c == '_' || c == '.';
         });
-    if (!valid) refuse(where, "name must be 1 to 64 letters, digits, '-', '_' or '.'");
+    if (!valid) reject(where, "name must be 1 to 64 letters, digits, '-', '_' or '.'");
 }
 
-service_spec service_from(nlohmann::json const& spec, std::string const& where)
+service_spec parse_service(nlohmann::json const& spec, std::string const& where)
 {
-    only_fields(spec, {"customer", "shards", "index_version"}, where);
+    reject_unknown_fields(spec, {"customer", "shards", "index_version"}, where);
     service_spec out;
     out.customer = field<std::string>(spec, "customer", "", where);
     out.shards = required<std::int32_t>(spec, "shards", where);
     out.index_version = field<std::int64_t>(spec, "index_version", 1, where);
-    if (out.shards < 1 || out.shards > max_shards) refuse(where + " field 'shards'", "must be from 1 to 4096");
-    if (out.index_version < 1) refuse(where + " field 'index_version'", "must be at least 1");
+    if (out.shards < 1 || out.shards > max_shards) reject(where + " field 'shards'", "must be from 1 to 4096");
+    if (out.index_version < 1) reject(where + " field 'index_version'", "must be at least 1");
     return out;
 }
 
 /** Refuses an empty shard list and shard numbers out of range. */
 void check_shards(std::vector<std::int32_t> const& shards, std::string const& where)
 {
-    if (shards.empty()) refuse(where + " field 'shards'", "must list at least one shard");
+    if (shards.empty()) reject(where + " field 'shards'", "must list at least one shard");
     for (auto shard : shards) {
-        if (shard < 0 || shard >= max_shards) refuse(where + " field 'shards'", "must hold numbers from 0 to 4095");
+        if (shard < 0 || shard >= max_shards) reject(where + " field 'shards'", "must hold numbers from 0 to 4095");
     }
 }
 
@@ -80,7 +80,7 @@
  * Reads what a back end holds: either 'shards' with 'index_versions' (the same shards at each version), or
  * 'holdings', a list of {index_version, shards}, for versions cut into different sets of shards.
  */
-std::vector<holding> holdings_from(nlohmann::json const& spec, std::string const& where)
+std::vector<holding> parse_holdings(nlohmann::json const& spec, std::string const& where)
 {
     std::vector<holding> out;
     if (!spec.contains("holdings")) {
@@ -89,48 +89,48 @@
             out.push_back({version, shards});
     } else {
         if (spec.contains("shards") || spec.contains("index_versions")) {
-            refuse(where + " field 'holdings'", "stands in place of 'shards' and 'index_versions'; keep one form");
+            reject(where + " field 'holdings'", "stands in place of 'shards' and 'index_versions'; keep one form");
         }
-        if (!spec["holdings"].is_array()) refuse(where + " field 'holdings'", "must be a list");
+        if (!spec["holdings"].is_array()) reject(where + " field 'holdings'", "must be a list");
         for (auto const& item : spec["holdings"]) {
-            only_fields(item, {"index_version", "shards"}, where + " holding");
+            reject_unknown_fields(item, {"index_version", "shards"}, where + " holding");
             out.push_back({required<std::int64_t>(item, "index_version", where),
                            required<std::vector<std::int32_t>>(item, "shards", where)});
         }
     }
-    if (out.empty()) refuse(where, "must hold at least one index version");
+    if (out.empty()) reject(where, "must hold at least one index version");
     for (auto const& item : out)
         check_shards(item.shards, where);
     return out;
 }
 
-backend_spec backend_from(nlohmann::json const& spec, std::string const& where)
+backend_spec parse_backend(nlohmann::json const& spec, std::string const& where)
 {
-    only_fields(spec,
-                {"address", "service", "failure_domain", "shards", "index_versions", "holdings", "slots", "connections",
-                 "draining"},
-                where);
+    reject_unknown_fields(spec,
+                          {"address", "service", "failure_domain", "shards", "index_versions", "holdings", "slots",
+                           "connections", "draining"},
+                          where);
     backend_spec out;
     out.address = required<std::string>(spec, "address", where);
     out.service = required<std::string>(spec, "service", where);
     out.failure_domain = field<std::string>(spec, "failure_domain", "", where);
-    out.holdings = holdings_from(spec, where);
+    out.holdings = parse_holdings(spec, where);
     out.slots = field<std::int32_t>(spec, "slots", 2, where);
     out.connections = field<std::int32_t>(spec, "connections", 25, where);
     out.draining = field<bool>(spec, "draining", false, where);
     try {
         parse_endpoint(out.address);
     } catch (error const&) {
-        refuse(where + " field 'address'", "must be host:port");
+        reject(where + " field 'address'", "must be host:port");
     }
-    if (out.slots < 1) refuse(where + " field 'slots'", "must be at least 1");
-    if (out.connections < 1) refuse(where + " field 'connections'", "must be at least 1");
+    if (out.slots < 1) reject(where + " field 'slots'", "must be at least 1");
+    if (out.connections < 1) reject(where + " field 'connections'", "must be at least 1");
     return out;
 }
 
-route_spec route_from(nlohmann::json const& spec, std::string const& where)
+route_spec parse_route(nlohmann::json const& spec, std::string const& where)
 {
-    only_fields(spec, {"customer", "service"}, where);
+    reject_unknown_fields(spec, {"customer", "service"}, where);
     return {required<std::string>(spec, "customer", where), required<std::string>(spec, "service", where)};
 }
 
@@ -184,7 +184,7 @@
 
 resource resource_from_json(nlohmann::json const& in)
 {
-    if (!in.is_object()) refuse("a resource", "must be an object");
+    if (!in.is_object()) reject("a resource", "must be an object");
     resource out;
     out.kind = parse_kind(field<std::string>(in, "kind", "", "resource"));
     out.name = field<std::string>(in, "name", "", "resource");
@@ -193,9 +193,9 @@
     out.revision = field<std::int64_t>(in, "revision", 0, where);
     auto const spec = in.value("spec", nlohmann::json::object());
     switch (out.kind) {
-    case resource_kind::service: out.spec = service_from(spec, where); break;
-    case resource_kind::backend: out.spec = backend_from(spec, where); break;
-    case resource_kind::route: out.spec = route_from(spec, where); break;
+    case resource_kind::service: out.spec = parse_service(spec, where); break;
+    case resource_kind::backend: out.spec = parse_backend(spec, where); break;
+    case resource_kind::route: out.spec = parse_route(spec, where); break;
     }
     return out;
 }
@@ -206,7 +206,7 @@
     bool const is_json = source.size() >= 5 && source.substr(source.size() - 5) == ".json";
     if (is_json) {
         auto const document = nlohmann::json::parse(text, nullptr, false);
-        if (document.is_discarded()) refuse(source, "is not valid JSON");
+        if (document.is_discarded()) reject(source, "is not valid JSON");
         list = document.is_array() ? document : document.value("resources", nlohmann::json::array());
     } else {
         auto const document = toml_to_json(text, source, error_kind::bad_request);
@@ -216,7 +216,7 @@
             if (!document.contains(kind)) continue;
             auto const& items = document[kind];
             if (!items.is_array())
-                refuse(source + " key '" + kind + "'", "must be an array of tables ([[" + kind + "]])");
+                reject(source + " key '" + kind + "'", "must be an array of tables ([[" + kind + "]])");
             for (auto item : items) {
                 nlohmann::json entry{{"kind", kind}, {"name", item.value("name", std::string{})}};
                 if (item.contains("revision")) entry["revision"] = item["revision"];
@@ -233,18 +233,18 @@
     return resources;
 }
 
-void config_snapshot::build_routes()
+void config_snapshot::build_routing()
 {
     routing.clear();
     for (auto const& [name, spec] : backends) {
         if (spec.draining) continue;
-        replica const self{name, parse_endpoint(spec.address), spec.failure_domain, spec.slots};
+        replica const entry{name, parse_endpoint(spec.address), spec.failure_domain, spec.slots};
         for (auto const& held : spec.holdings) {
             auto& shards = routing[{spec.service, held.index_version}];
             for (auto shard : held.shards) {
-                auto const place = static_cast<std::size_t>(shard);
-                if (shards.size() <= place) shards.resize(place + 1);
-                shards[place].push_back(self);
+                auto const index = static_cast<std::size_t>(shard);
+                if (shards.size() <= index) shards.resize(index + 1);
+                shards[index].push_back(entry);
             }
         }
     }
@@ -253,11 +253,11 @@
 std::vector<replica> const& config_snapshot::replicas(std::string const& service, std::int32_t shard,
                                                       std::int64_t version) const
 {
-    static std::vector<replica> const none;
+    static std::vector<replica> const no_replicas;
     auto const found = routing.find({service, version});
-    if (found == routing.end() || shard < 0) return none;
-    auto const place = static_cast<std::size_t>(shard);
-    return place < found->second.size() ? found->second[place] : none;
+    if (found == routing.end() || shard < 0) return no_replicas;
+    auto const index = static_cast<std::size_t>(shard);
+    return index < found->second.size() ? found->second[index] : no_replicas;
 }
 
 } // namespace cornelspring
--- a/tests/feed_fleet.cpp
+++ b/tests/feed_fleet.cpp
@@ -273,9 +273,9 @@
         distance = peer.domain == vm.domain ? 0 : peer.region == vm.region ? 1 : 2;
     }
     // A connection and the question: two round trips, less the way back of the answer.
-    auto const there = 3 * one_way_delay[distance] + scheduling_delay();
-    auto const back = one_way_delay[distance];
-    auto const send_response = [this, from, finish, back, scheduling_delay,
+    auto const request_delay = 3 * one_way_delay[distance] + scheduling_delay();
+    auto const response_delay = one_way_delay[distance];
+    auto const send_response = [this, from, finish, response_delay, scheduling_delay,
                                 source = call.source](feed_response result) {
         auto const bytes = encode_peer_batch(result.batch).size();
         auto const cost = m_per_item * static_cast<int>(result.batch.items.size());
@@ -284,14 +284,15 @@
             auto& sender = *m_vms[static_cast<std::size_t>(index_of(source.peer_key))];
             sending = use_processor(sender, cost / receiver_factor) + use_link(sender, bytes);
         }
-        auto const received = milliseconds(static_cast<std::int64_t>(static_cast<double>(bytes) / m_bytes_per_ms));
-        after(sending + back + received, [this, from, finish, cost, scheduling_delay, result = std::move(result)] {
-            auto& vm = *m_vms[static_cast<std::size_t>(from)];
-            if (vm.fault == fault_mode::unreachable) return;
-            after(use_processor(vm, cost) + scheduling_delay(), [finish, result] { finish(result); });
-        });
+        auto const transfer_time = milliseconds(static_cast<std::int64_t>(static_cast<double>(bytes) / m_bytes_per_ms));
+        after(sending + response_delay + transfer_time,
+              [this, from, finish, cost, scheduling_delay, result = std::move(result)] {
+                  auto& vm = *m_vms[static_cast<std::size_t>(from)];
+                  if (vm.fault == fault_mode::unreachable) return;
+                  after(use_processor(vm, cost) + scheduling_delay(), [finish, result] { finish(result); });
+              });
     };
-    after(there, [this, from, call, send_response] {
+    after(request_delay, [this, from, call, send_response] {
         if (call.source.is_store())
             call_store(from, call, send_response);
         else
--- a/tests/test_resources.cpp
+++ b/tests/test_resources.cpp
@@ -108,7 +108,7 @@
     auto drained = std::get<backend_spec>(resources[1].spec);
     drained.draining = true;
     snapshot.backends["cat01-b"] = drained;
-    snapshot.build_routes();
+    snapshot.build_routing();
     CHECK(snapshot.replicas("catalogue-01", 1, 3).size() == 1);
     CHECK(snapshot.replicas("catalogue-01", 1, 4).empty());
     CHECK(snapshot.replicas("catalogue-01", 2, 3).empty());
--- a/tests/test_state_feed.cpp
+++ b/tests/test_state_feed.cpp
@@ -378,14 +378,14 @@
     REQUIRE(read.items.size() == 300);
     CHECK(read.items[299].value == "value 299");
     CHECK(read.items[7].removed);
-    auto const whole = response.body;
-    for (std::size_t size = 0; size < whole.size(); size += 97) {
-        response.body = whole.substr(0, size);
+    auto const complete = response.body;
+    for (std::size_t size = 0; size < complete.size(); size += 97) {
+        response.body = complete.substr(0, size);
         CHECK_THROWS(codec.parse_batch(response));
     }
-    auto const size_at = whole.find("bytes") + 6; // The high byte of the size before deflating.
+    auto const size_at = complete.find("bytes") + 6; // The high byte of the size before deflating.
     for (int const by : {-1, 1}) {
-        response.body = whole;
+        response.body = complete;
         response.body[size_at] = static_cast<char>(response.body[size_at] + by);
         CHECK_THROWS_AS(codec.parse_batch(response), error);
     }
