--- a/src/state/config_view.cpp
+++ b/src/state/config_view.cpp
@@ -56,7 +56,7 @@
         if (auto const* b = std::get_if<backend_spec>(&value.spec)) snapshot.backends[name] = *b;
         if (auto const* r = std::get_if<route_spec>(&value.spec)) snapshot.routes[name] = *r;
     } catch (std::exception const&) {
-        // A value that does not parse was not written by cornel-ctl; it is ignored rather than applied.
+        // Ignores a value that cannot be parsed: cornel-ctl did not write it.
     }
 }
 
--- a/src/state/merge.cpp
+++ b/src/state/merge.cpp
@@ -1,4 +1,4 @@
-/** @file merge.cpp Merging the hits of many shards into one ranked list. */
+/** @file merge.cpp Merges the hits of many shards into one ranked list. */
 #include <cornelspring/state.hpp>
 
 #include <algorithm>
--- a/src/state/resources.cpp
+++ b/src/state/resources.cpp
@@ -1,4 +1,4 @@
-/** @file resources.cpp Reading, checking and encoding declared resources. */
+/** @file resources.cpp Reads, validates and encodes declared resources. */
 #include <cornelspring/state.hpp>
 
 #include <algorithm>
@@ -12,18 +12,18 @@
 /** Most shards a service may have. */
 constexpr std::int32_t max_shards = 4096;
 
-/** Throws a bad_request error about @p where. */
+/** Throws a bad_request error that names @p where and the violated @p rule. */
 [[noreturn]] void reject(std::string const& where, std::string const& rule)
 {
     throw error(error_kind::bad_request, where + " " + rule + ".", "Correct the resource and apply it again.");
 }
 
-/** Refuses fields of @p spec that are not in @p allowed. */
+/** Rejects fields of @p spec that are not in @p allowed. */
 void reject_unknown_fields(nlohmann::json const& spec, std::set<std::string> const& allowed, std::string const& where)
 {
     if (!spec.is_object()) reject(where, "spec must be an object");
     for (auto const& [key, value] : spec.items()) {
-        if (allowed.count(key) == 0) reject(where + " field '" + key + "'", "is not known");
+        if (allowed.count(key) == 0) reject(where + " field '" + key + "'", "is unknown");
     }
 }
 
@@ -45,7 +45,7 @@
     return field<T>(spec, key, T{}, where);
 }
 
-/** Refuses a bad name. */
+/** Rejects an invalid name. */
 void check_name(std::string const& name, std::string const& where)
 {
     bool const valid =
@@ -67,7 +67,7 @@
     return out;
 }
 
-/** Refuses an empty shard list and shard numbers out of range. */
+/** Rejects an empty shard list and shard numbers out of range. */
 void check_shards(std::vector<std::int32_t> const& shards, std::string const& where)
 {
     if (shards.empty()) reject(where + " field 'shards'", "must list at least one shard");
@@ -77,8 +77,8 @@
 }
 
 /**
- * Reads what a back end holds: either 'shards' with 'index_versions' (the same shards at each version), or
- * 'holdings', a list of {index_version, shards}, for versions cut into different sets of shards.
+ * Reads which shards a backend server holds: either 'shards' with 'index_versions' (the same shards at each version),
+ * or 'holdings', a list of {index_version, shards}, for versions split into different sets of shards.
  */
 std::vector<holding> parse_holdings(nlohmann::json const& spec, std::string const& where)
 {
@@ -89,7 +89,7 @@
             out.push_back({version, shards});
     } else {
         if (spec.contains("shards") || spec.contains("index_versions")) {
-            reject(where + " field 'holdings'", "stands in place of 'shards' and 'index_versions'; keep one form");
+            reject(where + " field 'holdings'", "cannot be combined with 'shards' and 'index_versions'; use one form");
         }
         if (!spec["holdings"].is_array()) reject(where + " field 'holdings'", "must be a list");
         for (auto const& item : spec["holdings"]) {
--- a/tests/feed_fleet.cpp
+++ b/tests/feed_fleet.cpp
@@ -1,4 +1,4 @@
-/** @file feed_fleet.cpp Gateways that learn the store's state, in virtual time. */
+/** @file feed_fleet.cpp Simulation of gateways that read the store's state, in virtual time. */
 #include "feed_fleet.hpp"
 
 #include <algorithm>
@@ -6,14 +6,14 @@
 namespace cornelspring::testing {
 namespace {
 
-/** Time an answer of the store takes. */
+/** Time that the store takes to respond to a read. */
 constexpr milliseconds store_response_time{4};
-/** One way between regions, between failure domains of a region, and within one. */
+/** Delay in one direction, by distance: in a failure domain, between those of a region, between regions. */
 constexpr std::chrono::microseconds one_way_delay[] = {std::chrono::microseconds(100), std::chrono::microseconds(1400),
                                                        std::chrono::microseconds(12000)};
-/** Longest turn of a process that waits for its share of a core. */
+/** Longest time that a process waits to be scheduled on its share of a core. */
 constexpr int max_scheduling_delay_ms = 60;
-/** An item costs its receiver so many times as much as its sender. */
+/** Processor time that an item takes at its receiver, as a multiple of that at its sender. */
 constexpr int receiver_factor = 6;
 
 } // namespace
@@ -23,15 +23,15 @@
     std::string key;                                                              ///< Store key.
     domain_name domain;                                                           ///< Failure domain.
     region_name region;                                                           ///< Region.
-    state_mirror mirror;                                                          ///< Its copy.
-    std::unique_ptr<state_publisher> publisher;                                   ///< Answers others.
-    std::map<std::uint64_t, std::function<void(feed_response)>> pending_requests; ///< Questions of others by key.
+    state_mirror mirror;                                                          ///< Local copy of the store.
+    std::unique_ptr<state_publisher> publisher;                                   ///< Responds to its followers.
+    std::map<std::uint64_t, std::function<void(feed_response)>> pending_requests; ///< Requests of others, by key.
     std::unique_ptr<state_feed> feed;                                             ///< Its feed.
-    fault_mode fault = fault_mode::none;                                          ///< For everybody.
-    fault_mode store_fault = fault_mode::none;                                    ///< At the store.
-    std::uint64_t call = 0;                                                       ///< Present call for state.
-    time_point busy_until;                                                        ///< End of the work that it has.
-    uplink_backlog link; ///< What others were told waits there.
+    fault_mode fault = fault_mode::none;                                          ///< Fault towards all others.
+    fault_mode store_fault = fault_mode::none;                                    ///< Fault towards the store only.
+    std::uint64_t call = 0; ///< Number of the current read or watch.
+    time_point busy_until;  ///< When its queued work is done.
+    uplink_backlog link;    ///< Bytes waiting for its link.
 };
 
 feed_fleet::feed_fleet(int vms, int domains, std::uint64_t seed) : m_random(seed)
@@ -214,7 +214,7 @@
 
 bool feed_fleet::any_store_reader_live() const
 {
-    // The first gateways of the first two failure domains.
+    // The leaders of the first two failure domains.
     return m_vms[0]->fault == fault_mode::none || m_vms[1]->fault == fault_mode::none;
 }
 
@@ -265,14 +265,14 @@
     after(call.timeout, [finish] { finish({0, "no answer in time", {}}); });
     auto const& vm = *m_vms[static_cast<std::size_t>(from)];
     bool const outgoing = vm.fault == fault_mode::none || vm.fault == fault_mode::refusing;
-    if (!outgoing) return; // Silent or stale: nothing of its own gets through.
+    if (!outgoing) return; // Unreachable or stale: its calls are lost.
     auto const scheduling_delay = [this] { return milliseconds(m_random() % max_scheduling_delay_ms); };
     int distance = 2;
     if (!call.source.is_store()) {
         auto const& peer = *m_vms[static_cast<std::size_t>(index_of(call.source.peer_key))];
         distance = peer.domain == vm.domain ? 0 : peer.region == vm.region ? 1 : 2;
     }
-    // A connection and the question: two round trips, less the way back of the answer.
+    // Opening the connection and sending the request: two round trips without the way back of the response.
     auto const request_delay = 3 * one_way_delay[distance] + scheduling_delay();
     auto const response_delay = one_way_delay[distance];
     auto const send_response = [this, from, finish, response_delay, scheduling_delay,
@@ -311,7 +311,8 @@
         after(store_response_time, [this, send_response, from] { send_response({200, "", m_store.page_after(from)}); });
         return;
     }
-    // The store knows revisions only: one of an earlier era is taken for its own, when it has come so far again.
+    // Requests to the store have a revision but no era. A revision of an earlier era is treated as one of the current
+    // era once that has reached it.
     store_position const known{m_position.era, call.after.revision};
     if (known > m_position) return send_response({410, "", {}});
     auto changes = m_store.changes_after(known);
--- a/tests/test_merge.cpp
+++ b/tests/test_merge.cpp
@@ -1,11 +1,11 @@
-/** @file test_merge.cpp Merging shard hits into one ranked list. */
+/** @file test_merge.cpp Tests of merging the hits of shards into one ranked list. */
 #include <cornelspring/state.hpp>
 
 #include <doctest/doctest.h>
 
 using namespace cornelspring;
 
-TEST_CASE("merge keeps the best k by score, ties by document id")
+TEST_CASE("merge keeps the best k hits by score, and orders ties by document id")
 {
     std::vector<std::vector<hit>> lists{{{1, 5.0, "a"}, {2, 1.0, "b"}}, {{3, 5.0, "c"}, {4, 3.0, "d"}}, {}};
     auto const merged = merge_top_k(lists, 3);
--- a/tests/test_resources.cpp
+++ b/tests/test_resources.cpp
@@ -28,7 +28,7 @@
 service = "catalogue-01"
 )";
 
-/** @return a watch event writing @p value at @p key and revision @p rev. */
+/** @return a watch event for a write of @p value to @p key at revision @p rev. */
 watch_event put_event(std::string const& key, resource const& value, std::int64_t rev)
 {
     key_value kv;
@@ -40,7 +40,7 @@
 
 } // namespace
 
-TEST_CASE("a TOML resource file reads into typed resources")
+TEST_CASE("a TOML resource file is parsed into typed resources")
 {
     auto const resources = parse_resource_file(example, "example.toml");
     REQUIRE(resources.size() == 3);
@@ -52,7 +52,7 @@
     CHECK(resource_from_json(resource_to_json(resources[1])).name == "cat01-a");
 }
 
-TEST_CASE("bad resources are refused")
+TEST_CASE("invalid resources are rejected")
 {
     char const* const cases[] = {
         R"({"kind":"service","name":"a","spec":{}})",                          // shards missing
@@ -77,16 +77,17 @@
     std::get<service_spec>(service_v5.spec).index_version = 5;
     CHECK(view.apply({put_event(resource_key(resource_kind::service, "catalogue-01"), service_v5, 10)}, 10));
     CHECK(view.current()->services.at("catalogue-01").index_version == 5);
-    // A late event from an older revision is ignored.
+    // A late event of an older revision is ignored.
     CHECK_FALSE(view.apply({put_event(resource_key(resource_kind::service, "catalogue-01"), resources[0], 7)}, 7));
     CHECK(view.current()->services.at("catalogue-01").index_version == 5);
-    // So is a full read from before what was applied, as after a failover to a lagging store reply.
+    // So is a full read at a revision before the last applied one, for example from a store node that lags behind
+    // after a failover.
     CHECK_FALSE(view.reset({}, 8, view.current()->cluster));
     CHECK(view.current()->services.count("catalogue-01") == 1);
     CHECK(view.current()->revision == 10);
 }
 
-TEST_CASE("the view follows a store that was restored from an older copy, whose revisions begin anew from there")
+TEST_CASE("the view follows a store that was restored from an older copy and continues from its lower revision")
 {
     auto const resources = parse_resource_file(example, "example.toml");
     auto const key = resource_key(resource_kind::service, "catalogue-01");
@@ -100,7 +101,7 @@
     CHECK_FALSE(view.reset({}, 8, cluster_id("2")));
 }
 
-TEST_CASE("replicas are the back ends holding the shard at the version and not draining")
+TEST_CASE("replicas are the backend servers that hold the shard at the version and are not draining")
 {
     auto resources = parse_resource_file(example, "example.toml");
     config_snapshot snapshot;
--- a/tests/test_state_feed.cpp
+++ b/tests/test_state_feed.cpp
@@ -1,4 +1,4 @@
-/** @file test_state_feed.cpp How soon every gateway knows a change, whatever share of the others is dark. */
+/** @file test_state_feed.cpp Time until every gateway has a change, while a share of the gateways has faults. */
 #include "feed_fleet.hpp"
 
 #include <doctest/doctest.h>
@@ -9,13 +9,13 @@
 
 namespace {
 
-/** Largest number of changes that a gateway misses in the outages played here. */
+/** Largest number of changes that a gateway misses in the simulated outages. */
 constexpr int many_changes = 2500;
 
 /** @return the position of @p revision in the first era. */
 store_position at(std::int64_t revision) { return {store_era(1), revision}; }
 
-/** @return a fleet in which everybody knows the first configuration. */
+/** @return a fleet in which every gateway has the first configuration. */
 std::unique_ptr<feed_fleet> synced_fleet(int vms, int domains, std::uint64_t seed)
 {
     auto fleet = std::make_unique<feed_fleet>(vms, domains, seed);
@@ -27,15 +27,15 @@
 
 } // namespace
 
-TEST_CASE("feed: a change reaches every gateway within the bound, whatever share of them is dark")
+TEST_CASE("feed: a change reaches every live gateway within the bound while others are unreachable, refusing or stale")
 {
-    // A silent source is noticed after 0.8 s + 0.25 s, one that answers from an old copy after 2 s; three rounds of
-    // 0.3 s and one after a pause find a live one, and the change follows within 0.6 s, over a chain of followers that
-    // wait up to 60 ms for their turn.
+    // An unreachable source is detected after 0.8 s + 0.25 s, one that responds from an old copy after 2 s. Three
+    // rounds of 0.3 s and one after a pause find a live source. The change then arrives within 0.6 s, over a chain of
+    // followers, each of which waits up to 60 ms to be scheduled.
     constexpr milliseconds search_bound{4 * 300 + 100};
     constexpr milliseconds propagation_bound{600};
-    // When both gateways that should read the store are dark, the heads of the other failure domains ask it, and the
-    // rest must find these: two rounds with pauses more.
+    // If both gateways that should read the store have a fault, the leaders of the other failure domains read it, and
+    // the rest must find these leaders: two more rounds with pauses.
     constexpr milliseconds no_reader_bound{2 * (300 + 400)};
     constexpr milliseconds unreachable_bound = milliseconds(800 + 250) + search_bound + propagation_bound;
     constexpr milliseconds stale_bound = milliseconds(2000) + search_bound + propagation_bound;
@@ -59,7 +59,7 @@
     }
 }
 
-TEST_CASE("feed: gateways that the store turns away learn a change from the others as soon")
+TEST_CASE("feed: gateways that cannot reach the store, or are rejected by it, get a change from the others in time")
 {
     constexpr milliseconds bound{2200};
     for (auto const how : {fault_mode::unreachable, fault_mode::refusing}) {
@@ -75,7 +75,7 @@
     }
 }
 
-TEST_CASE("feed: gateways behind by thousands of changes catch up by pages, over the link of a small VM")
+TEST_CASE("feed: gateways that missed thousands of changes catch up page by page over the link of a small VM")
 {
     auto const fleet = synced_fleet(78, 6, 1);
     fleet->limit_resources(1750, 500us); // 14 Mbit/s, an eighth of a core.
@@ -89,9 +89,9 @@
     CHECK(fleet->time_until_all_have("config", "2", 10s).count() <= 5000);
 }
 
-TEST_CASE("feed: followers of a small VM leave room on its link for its callers, also when many changes come at once")
+TEST_CASE("feed: responses to followers leave room for callers on the link of a small VM, also with many changes")
 {
-    // A piece of 64 KB takes 26 ms on 20 Mbit/s.
+    // A part of 64 KB takes 26 ms on 20 Mbit/s.
     constexpr milliseconds longest_wait{60};
     for (int const vms : {78, 195, 470}) {
         auto const fleet = synced_fleet(vms, 6, 1);
@@ -111,7 +111,7 @@
     }
 }
 
-TEST_CASE("feed: the largest VM of each failure domain is its head")
+TEST_CASE("feed: the largest VM of each failure domain is its leader")
 {
     member_map members;
     auto const add = [&members](std::string const& key, std::string const& domain, double capacity) {
@@ -133,7 +133,7 @@
     CHECK(source_of("g/a1", "a") == "g/a3");
 }
 
-TEST_CASE("feed: a follower that waits for its turn is told what changed, never that nothing did")
+TEST_CASE("feed: a follower whose response is queued gets the changes, never a response without changes")
 {
     state_mirror mirror;
     mirror.replace({}, at(1));
@@ -155,7 +155,7 @@
         publisher.handle_request(request_key(key), {feed_call_kind::watch, "g", at(1), 100ms});
     mirror.apply({{"k", "v", at(2), false}}, at(2));
     publisher.on_confirmed({"", {"10.9.9.9", 1}}, now, {});
-    CHECK(answers.size() == 1); // The next turn comes when half of the link has carried the first answer.
+    CHECK(answers.size() == 1); // The next one is sent when half of the link's rate has carried the first.
     for (int step = 0; step < 40; ++step) {
         now += 100ms;
         auto const due = std::exchange(tasks, {});
@@ -171,10 +171,11 @@
         CHECK(answer.batch.items.size() == 1);
 }
 
-TEST_CASE("feed: a change that takes longer to arrive than a late answer may be is waited for, not asked for anew")
+TEST_CASE("feed: a change that takes longer to transfer than the allowed delay of a call still arrives")
 {
-    // A configuration of 600 KB takes 0.34 s on 14 Mbit/s, and a head tells it to twelve followers over one link: 4 s,
-    // if it went as it is. Its routes differ in names and figures only.
+    // A configuration of 600 KB takes 0.34 s on 14 Mbit/s, and a leader sends it to twelve followers over one link: 4 s
+    // if it were not deflated. Its routes differ in names and figures only. If a gateway cancelled and repeated a call
+    // whose response is merely large, the response would never arrive.
     auto const fleet = synced_fleet(78, 6, 1);
     fleet->limit_resources(1750, 500us);
     std::mt19937 random(1);
@@ -189,7 +190,7 @@
     CHECK(fleet->time_until_all_have("config", large, 20s).count() <= 4000);
 }
 
-TEST_CASE("feed: calls to the store do not grow with the number of gateways, also while some are dark")
+TEST_CASE("feed: calls to the store do not grow with the number of gateways, also while it rejects some or all")
 {
     auto const calls_in = [](int vms, auto const& inject) {
         auto const fleet = synced_fleet(vms, 6, 1);
@@ -201,28 +202,28 @@
     auto const calm = [](feed_fleet&) {};
     auto const third_cut = [](feed_fleet& fleet) { fleet.disconnect_from_store(0.35, fault_mode::refusing); };
     auto const all_cut = [](feed_fleet& fleet) { fleet.disconnect_from_store(1, fault_mode::refusing); };
-    // Two gateways, one watch of 1.5 s each.
+    // Two gateways with one watch of 1.5 s each.
     CHECK(calls_in(78, calm) <= 2 * 7);
     CHECK(calls_in(470, calm) <= 2 * 7);
     CHECK(calls_in(78, third_cut) <= 70);
     CHECK(calls_in(470, third_cut) <= 70);
-    // A store that refuses everybody is asked by those who should read it, and by a few more of each domain.
+    // A store that rejects all is called by the leaders, and by a few other gateways of each failure domain.
     CHECK(calls_in(78, all_cut) <= 450);
     CHECK(calls_in(470, all_cut) <= 450);
 }
 
-TEST_CASE("feed: copies are as young in gateways that follow a follower")
+TEST_CASE("feed: the copy of a gateway that follows a follower is as recent as that of the others")
 {
     auto const fleet = synced_fleet(78, 6, 3);
     fleet->disconnect_from_store(0.35, fault_mode::refusing);
     fleet->run(3s);
     for (int i = 0; i < 40; ++i) {
         fleet->run(250ms);
-        CHECK(fleet->max_copy_age() <= 2s + 3 * 300ms); // Others are asked after 2 s, in rounds of 0.3 s.
+        CHECK(fleet->max_copy_age() <= 2s + 3 * 300ms); // A search starts after 2 s, in rounds of 0.3 s.
     }
 }
 
-TEST_CASE("feed: when the store is back, everybody hears of it")
+TEST_CASE("feed: when the store is reachable again, every gateway gets its changes")
 {
     auto const fleet = synced_fleet(78, 6, 4);
     for (auto const how : {fault_mode::unreachable, fault_mode::refusing}) {
@@ -236,7 +237,7 @@
 
 namespace {
 
-/** Writes @p count keys that are lost when the store returns to its copy. */
+/** Writes @p count keys that are lost when the store is restored from its saved copy. */
 void write_lost_keys(feed_fleet& fleet, int count)
 {
     for (int i = 0; i < count; ++i)
@@ -246,7 +247,7 @@
     REQUIRE(fleet.all_have("config", "lost"));
 }
 
-/** The store is away for @p away and back with its copy. */
+/** Makes the store reject all calls for @p away, then restores it from its saved copy. */
 void restore_copy(feed_fleet& fleet, milliseconds away)
 {
     fleet.disconnect_from_store(1, fault_mode::refusing);
@@ -255,13 +256,13 @@
     fleet.clear_faults();
 }
 
-/** From its return on, a store is known within this: a pause between searches, a full read and the chain of followers
- *  at each of which the watch that waits ends first. */
+/** Every gateway has the contents of a restored store within this: a pause between search rounds, a full read, and the
+ *  chain of followers, at each of which the waiting watch finishes first. */
 constexpr milliseconds restored_bound{3000};
 
 } // namespace
 
-TEST_CASE("feed: what a store that returned to an older copy holds, and what is written then, reaches every gateway")
+TEST_CASE("feed: the contents of a store restored from an older copy, and later writes, reach every gateway")
 {
     for (int const vms : {7, 78, 300}) {
         for (int const lost : {1, 5, 40}) {
@@ -274,7 +275,7 @@
                 CHECK(fleet->time_until_all_match(10s).count() <= restored_bound.count());
                 fleet->write("config", "2");
                 CHECK(fleet->time_until_all_match(10s).count() <= 2500);
-                // The revision that the gateways knew names something else now.
+                // The store assigns the revisions that the gateways had before the restore to other changes.
                 for (int i = 0; i < lost + 2; ++i)
                     fleet->write("again/" + std::to_string(i), "y");
                 CHECK(fleet->time_until_all_match(10s).count() <= 2500);
@@ -283,7 +284,7 @@
     }
 }
 
-TEST_CASE("feed: gateways cut off while the store returns to a copy, twice, learn what it holds when they are back")
+TEST_CASE("feed: gateways with a fault while the store is restored twice get its contents when the fault is over")
 {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         for (auto const how : {fault_mode::unreachable, fault_mode::refusing, fault_mode::stale}) {
@@ -296,7 +297,8 @@
                 fleet->restore_copy();
                 fleet->run(1s);
                 fleet->write("config", "after " + std::to_string(times));
-                // As many revisions as before the return: a gateway that was away finds its own one again.
+                // As many revisions as before the restore, so that the store reaches the revision again that gateways
+                // with a fault still have from the earlier era.
                 for (int i = 0; i < 5; ++i)
                     fleet->write("again/" + std::to_string(i), std::to_string(times));
             }
@@ -307,7 +309,7 @@
     }
 }
 
-TEST_CASE("feed: gateways that restart around a return of the store to a copy know what it holds")
+TEST_CASE("feed: gateways that restart shortly before or after the store is restored get its contents")
 {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         INFO("seed ", seed);
@@ -315,7 +317,7 @@
         fleet->save_copy();
         write_lost_keys(*fleet, 5);
         for (int vm = 0; vm < 6; ++vm)
-            fleet->restart(vm); // The heads of all failure domains among them.
+            fleet->restart(vm); // These include the leaders of all failure domains.
         fleet->run(300ms);
         restore_copy(*fleet, 500ms);
         for (int vm = 3; vm < 9; ++vm)
@@ -335,7 +337,7 @@
     CHECK(mirror.items().at("a").value == "3");
 }
 
-TEST_CASE("mirror: followers are told the newest state of each key, by pages")
+TEST_CASE("mirror: followers get the newest state of each key, in pages")
 {
     state_mirror mirror;
     mirror.replace({}, at(1));
@@ -362,7 +364,7 @@
     CHECK(pages >= 2);
 }
 
-TEST_CASE("peer codec: an answer is read as it was written, and one that is not what it says is refused")
+TEST_CASE("peer codec: a response is decoded as encoded, and one that is truncated or has a wrong size is rejected")
 {
     auto const codec = make_peer_codec("g/1");
     store_batch batch{{}, at(900), "1.7", 250ms, {"g/2", "g/3"}};
@@ -383,7 +385,7 @@
         response.body = complete.substr(0, size);
         CHECK_THROWS(codec.parse_batch(response));
     }
-    auto const size_at = complete.find("bytes") + 6; // The high byte of the size before deflating.
+    auto const size_at = complete.find("bytes") + 6; // The high byte of the inflated size.
     for (int const by : {-1, 1}) {
         response.body = complete;
         response.body[size_at] = static_cast<char>(response.body[size_at] + by);
