--- a/tests/feed_fleet.cpp
+++ b/tests/feed_fleet.cpp
@@ -54,13 +54,13 @@
     auto& vm = *m_vms[static_cast<std::size_t>(i)];
     state_publisher::hooks hooks;
     hooks.encode = encode_peer_batch;
-    hooks.respond = [&vm](std::vector<request_key> const& keys, follower_response const& answer) {
+    hooks.respond = [&vm](std::vector<request_key> const& keys, follower_response const& response) {
         for (auto const key : keys) {
             auto const found = vm.pending_requests.find(key.value());
             if (found == vm.pending_requests.end()) continue;
             auto const send_response = std::move(found->second);
             vm.pending_requests.erase(found);
-            send_response({answer.status, "", answer.batch});
+            send_response({response.status, "", response.batch});
         }
     };
     hooks.run_at = [this](time_point when, std::function<void()> task) { m_agenda.at(when, std::move(task)); };
@@ -69,8 +69,8 @@
     feed_io io;
     io.fetch = [this, i, &vm](feed_call const& call, feed_io::response_handler const& done) {
         auto const number = ++vm.call;
-        deliver(i, call, [&vm, number, done](feed_response send_response) {
-            if (number == vm.call) done(std::move(send_response));
+        deliver(i, call, [&vm, number, done](feed_response response) {
+            if (number == vm.call) done(std::move(response));
         });
     };
     io.check_freshness = [this, i](feed_call const& call, feed_io::response_handler const& done) {
@@ -258,9 +258,9 @@
 void feed_fleet::deliver(int from, feed_call const& call, feed_io::response_handler const& done)
 {
     auto const open = std::make_shared<bool>(true);
-    auto const finish = [open, done](feed_response send_response) {
+    auto const finish = [open, done](feed_response response) {
         if (!std::exchange(*open, false)) return;
-        done(std::move(send_response));
+        done(std::move(response));
     };
     after(call.timeout, [finish] { finish({0, "no answer in time", {}}); });
     auto const& vm = *m_vms[static_cast<std::size_t>(from)];
--- a/tests/feed_fleet.hpp
+++ b/tests/feed_fleet.hpp
@@ -84,9 +84,9 @@
     /** Delivers a call of gateway @p from; @p done receives the response or the time-out. */
     void deliver(int from, feed_call const& call, feed_io::response_handler const& done);
     /** Handles a call at the store. */
-    void call_store(int from, feed_call const& call, std::function<void(feed_response)> const& reply);
+    void call_store(int from, feed_call const& call, std::function<void(feed_response)> const& send_response);
     /** Handles a call at a peer gateway. */
-    void call_peer(int from, feed_call const& call, std::function<void(feed_response)> const& reply);
+    void call_peer(int from, feed_call const& call, std::function<void(feed_response)> const& send_response);
     /** Responds to the waiting watches of the store. */
     void respond_to_store_watches();
     /** @return the index of the gateway with a store key. */
--- a/tests/test_state_feed.cpp
+++ b/tests/test_state_feed.cpp
@@ -139,12 +139,12 @@
     mirror.replace({}, at(1));
     time_point now{};
     std::vector<std::pair<time_point, std::function<void()>>> tasks;
-    std::map<std::uint64_t, follower_response> answers;
+    std::map<std::uint64_t, follower_response> responses;
     state_publisher::hooks hooks;
     hooks.encode = [](store_batch const& batch) { return std::string(batch.items.empty() ? 0 : 60000, 'x'); };
-    hooks.respond = [&](std::vector<request_key> const& keys, follower_response const& answer) {
+    hooks.respond = [&](std::vector<request_key> const& keys, follower_response const& response) {
         for (auto const key : keys)
-            answers[key.value()] = answer;
+            responses[key.value()] = response;
     };
     hooks.run_at = [&](time_point when, std::function<void()> task) { tasks.emplace_back(when, std::move(task)); };
     hooks.now = [&] { return now; };
@@ -155,7 +155,7 @@
         publisher.handle_request(request_key(key), {feed_call_kind::watch, "g", at(1), 100ms});
     mirror.apply({{"k", "v", at(2), false}}, at(2));
     publisher.on_confirmed({"", {"10.9.9.9", 1}}, now, {});
-    CHECK(answers.size() == 1); // The next one is sent when half of the link's rate has carried the first.
+    CHECK(responses.size() == 1); // The next one is sent when half of the link's rate has carried the first.
     for (int step = 0; step < 40; ++step) {
         now += 100ms;
         auto const due = std::exchange(tasks, {});
@@ -166,9 +166,9 @@
                 tasks.emplace_back(when, task);
         }
     }
-    REQUIRE(answers.size() == 3);
-    for (auto const& [key, answer] : answers)
-        CHECK(answer.batch.items.size() == 1);
+    REQUIRE(responses.size() == 3);
+    for (auto const& [key, response] : responses)
+        CHECK(response.batch.items.size() == 1);
 }
 
 TEST_CASE("feed: a change that takes longer to transfer than the allowed delay of a call still arrives")
