--- a/src/feed/state_mirror.cpp
+++ b/src/feed/state_mirror.cpp
@@ -1,17 +1,18 @@
-/** @file state_mirror.cpp A copy of the store's items, and what followers are told of its changes. */
+/** @file state_mirror.cpp Local copy of the store's items, and the changes of it that followers receive. */
 #include <cornelspring/feed.hpp>
 
 namespace cornelspring {
 namespace {
 
-/** Removals kept for followers: those of several seconds of the largest reshard; a follower asks each second or so. */
-constexpr std::size_t removals_kept = 4096;
-/** Bytes that an item takes on a page beside its key and value. */
-constexpr std::size_t item_overhead = 40;
+/** Removals kept for followers: those of several seconds of the largest reshard; a follower sends a request about each
+ * second. */
+constexpr std::size_t max_removals = 4096;
+/** Bytes that an item takes on a page in addition to its key and value. */
+constexpr std::size_t item_overhead_bytes = 40;
 
 } // namespace
 
-void state_mirror::take(store_item const& change)
+void state_mirror::apply_change(store_item const& change)
 {
     auto const [newest, is_new] = m_newest.try_emplace(change.key, change.position);
     if (!is_new) {
@@ -28,9 +29,9 @@
     }
 }
 
-void state_mirror::forget_removals()
+void state_mirror::drop_oldest_removals()
 {
-    while (m_removed.size() > removals_kept) {
+    while (m_removed.size() > max_removals) {
         auto const oldest = m_removed.begin();
         m_complete_from = std::max(m_complete_from, oldest->first);
         m_newest.erase(oldest->second);
@@ -41,19 +42,19 @@
 
 std::vector<store_item> state_mirror::apply(std::vector<store_item> const& changes, store_position as_of)
 {
-    std::vector<store_item> taken;
+    std::vector<store_item> applied;
     for (auto const& change : changes) {
         auto const known = m_newest.find(change.key);
         if (known != m_newest.end() && change.position < known->second) {
             ++m_superseded;
             continue;
         }
-        take(change);
-        taken.push_back(change);
+        apply_change(change);
+        applied.push_back(change);
     }
-    forget_removals();
+    drop_oldest_removals();
     m_as_of = std::max(m_as_of, as_of);
-    return taken;
+    return applied;
 }
 
 std::vector<store_item> state_mirror::replace(std::vector<store_item> const& items, store_position as_of)
@@ -61,7 +62,7 @@
     bool const other_era = as_of.era != m_as_of.era;
     if (other_era || m_as_of.revision == 0) m_complete_from = as_of;
     std::set<std::string> present;
-    // Followers get the differences as changes: each of them reading everything again would fill a small VM's link.
+    // Followers get the differences as changes: a full read by each of them would fill a small VM's link.
     std::vector<store_item> differences;
     for (auto const& item : items) {
         present.insert(item.key);
@@ -71,7 +72,7 @@
         if (!same)
             differences.push_back(item);
         else if (other_era)
-            take(item); // Nothing new to this VM; pages and changes are all of one era.
+            apply_change(item); // The value is unchanged, but all items must have a position in the new era.
     }
     for (auto const& [key, item] : m_items) {
         if (!present.contains(key) && item.position <= as_of) differences.push_back({key, {}, as_of, true});
@@ -88,7 +89,7 @@
     for (auto each = m_by_change.lower_bound({{from.era, from.revision + 1}, {}}); each != m_by_change.end(); ++each) {
         auto const& [changed_at, key] = *each;
         if (!with_removals && m_removed.contains(*each)) continue;
-        // All changes of one revision are on one page.
+        // A page never ends between two changes of one revision.
         if (bytes >= page_bytes && changed_at != last) {
             batch.as_of = last;
             batch.next_page_token = last.to_string();
@@ -97,7 +98,7 @@
         last = changed_at;
         auto const item = m_items.find(key);
         batch.items.push_back(item == m_items.end() ? store_item{key, {}, changed_at, true} : item->second);
-        bytes += item_overhead + key.size() + batch.items.back().value.size();
+        bytes += item_overhead_bytes + key.size() + batch.items.back().value.size();
     }
     return batch;
 }
@@ -116,7 +117,7 @@
 store_batch state_mirror::page_after(store_position from) const
 {
     auto batch = page(from, false);
-    batch.as_of = m_as_of; // Changes made meanwhile are found by watching from the first page's position on.
+    batch.as_of = m_as_of; // The reader gets changes made between the pages by watching from the first page's position.
     return batch;
 }
 
