--- a/include/cornelspring/gateway.hpp
+++ b/include/cornelspring/gateway.hpp
@@ -13,23 +13,23 @@
 
 /** How an exchange on a client connection ended. */
 struct exchange_result {
-    bool answered = false;   ///< A whole, matching response came.
-    bool sent = false;       ///< The request may have reached the peer.
-    bool closed = false;     ///< The peer closed the connection and sent no byte of a response.
-    http_response response;  ///< The response when answered.
-    char const* detail = ""; ///< Why not answered.
+    bool completed = false;              ///< A whole, matching response came.
+    bool sent = false;                   ///< The request may have reached the peer.
+    bool closed_before_response = false; ///< The peer closed the connection and sent no byte of a response.
+    http_response response;              ///< The response when answered.
+    char const* detail = "";             ///< Why not answered.
 };
 
 /** One HTTP/1.1 connection to a peer that carries one request at a time. */
 class client_connection {
 public:
     /** Outcome of offering a response to its request. */
-    enum class match { mine, other };
+    enum class match { expected, unexpected };
     /** One exchange. */
     struct exchange {
         /** Writes the request, once it can leave: what it says of time is true then. Empty: it is too late for it. */
-        std::function<std::string(time_point now)> write;
-        bool head = false;                                  ///< The response has no body.
+        std::function<std::string(time_point now)> write_request;
+        bool head_request = false;                          ///< The response has no body.
         std::function<match(http_response const&)> matches; ///< Whether a response answers this request.
         std::function<void(exchange_result)> done;          ///< Called once.
     };
@@ -46,13 +46,13 @@
     /** @return whether the connection is established. */
     bool established() const { return m_established; }
     /** @return bytes received so far. */
-    std::uint64_t received() const { return m_received; }
+    std::uint64_t bytes_received() const { return m_bytes_received; }
     /** @return whether it is open and can carry another request. */
     bool reusable() const;
     /** Sets the hook for the end of an idle connection. @param hook called once. */
-    void on_idle_end(std::function<void()> hook) { m_idle_end = std::move(hook); }
+    void on_idle_closed(std::function<void()> hook) { m_on_idle_closed = std::move(hook); }
     /** @return until when the peer keeps the connection when idle, by its own word; max when it did not say. */
-    time_point kept_until() const { return m_kept_until; }
+    time_point keep_alive_deadline() const { return m_keep_alive_deadline; }
     /** @return the end of the last exchange. */
     time_point idle_since() const { return m_idle_since; }
 
@@ -64,24 +64,24 @@
     /** Takes in the end of the connection. */
     void on_end(stream_end how);
     /** Ends the exchange with the response read. @param rest bytes after it. */
-    void take_response(std::string_view rest);
+    void handle_response(std::string_view rest);
     /** Reports the result of the exchange. */
-    void end_exchange(exchange_result result);
+    void finish_exchange(exchange_result result);
     /** Notes how long the peer keeps the connection when idle. */
-    void note_keep_alive(http_response const& response);
+    void update_keep_alive_deadline(http_response const& response);
 
     event_loop& m_loop;                       ///< Event loop.
     message_reader m_reader;                  ///< Response reader.
     std::optional<exchange> m_exchange;       ///< Present exchange.
-    std::function<void()> m_idle_end;         ///< Hook of the idle connection.
+    std::function<void()> m_on_idle_closed;   ///< Hook of the idle connection.
     std::function<void(bool)> m_on_connected; ///< Hook of a connection opened ahead.
     bool m_established = false;               ///< Connected.
-    bool m_broken = false;                    ///< Must not be used again.
+    bool m_unusable = false;                  ///< Must not be used again.
     bool m_used = false;                      ///< Carried an exchange before.
     bool m_sent = false;                      ///< The request of the exchange was handed to the stream.
-    std::uint64_t m_received = 0;             ///< Bytes received.
+    std::uint64_t m_bytes_received = 0;       ///< Bytes received.
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true); ///< Tells deferred work whether this still exists.
-    time_point m_kept_until = time_point::max();                  ///< Peer's idle limit.
+    time_point m_keep_alive_deadline = time_point::max();         ///< Peer's idle limit.
     time_point m_idle_since;                                      ///< End of the last exchange.
     std::unique_ptr<tcp_stream> m_stream;                         ///< The connection.
 };
@@ -90,10 +90,11 @@
 
 /** Settings of the connections to backend servers. */
 struct pool_options {
-    header_names names;              ///< Header names.
-    milliseconds connect_limit{600}; ///< Longest connect: two round trips between regions and a slow accept.
-    milliseconds idle_limit{15000};  ///< Kept connections idle this long are closed: see connection_share.
-    milliseconds fresh_enough{250};  ///< A kept connection idle longer may be dead: not for what must not repeat.
+    header_names names;                ///< Header names.
+    milliseconds connect_timeout{600}; ///< Longest connect: two round trips between regions and a slow accept.
+    milliseconds idle_timeout{15000};  ///< Kept connections idle this long are closed: see connection_share.
+    milliseconds max_idle_non_idempotent{
+        250}; ///< A kept connection idle longer may be dead: not for what must not repeat.
     message_limits response_limits{32768, 8 << 20}; ///< Limits on responses.
 };
 
@@ -109,10 +110,10 @@
     /** Gives an attempt up by closing its connection. @param id attempt. */
     void cancel(attempt_id id);
     /** Opens a connection ahead, kept for a later attempt. @param server where to. */
-    void prepare(std::shared_ptr<backend_server> const& server);
+    void preconnect(std::shared_ptr<backend_server> const& server);
     /** @return whether a connection to @p server is kept or being opened ahead, or could not be opened shortly before.
      *  @param server which. */
-    bool prepared(std::shared_ptr<backend_server> const& server) const;
+    bool skip_preconnect(std::shared_ptr<backend_server> const& server) const;
     /** @return connections opened since the start. */
     std::uint64_t connections_opened() const;
 
@@ -140,7 +141,7 @@
     /** Hooks of the service. */
     struct hooks {
         std::function<void(caller_request)> on_request; ///< A whole request; respond() follows, now or later.
-        std::function<void(request_key)> on_gone;       ///< The caller left before its answer.
+        std::function<void(request_key)> on_disconnect; ///< The caller left before its answer.
         std::function<caller_limits()> limits;          ///< Limits in force.
         /** A request was refused before routing. @param status answered. @param reason why. */
         std::function<void(int status, char const* reason)> on_refused;
@@ -148,9 +149,9 @@
     /** @param loop event loop. @param hooks service. */
     caller_server(event_loop& loop, hooks hooks);
     ~caller_server();
-    /** Listens on @p address. @param address address. @param local whether only the system's own calls come there.
+    /** Listens on @p address. @param address address. @param internal whether only the system's own calls come there.
      *  @return the bound port. */
-    std::uint16_t listen(endpoint const& address, bool local);
+    std::uint16_t listen(endpoint const& address, bool internal);
     /** Answers a request; does nothing when its caller has left. @param key request. @param response answer. */
     void respond(request_key key, http_response response);
     /** From now on each answer closes its connection. */
@@ -178,10 +179,10 @@
  * Chooses the gateways that callers are sent to. More gateways than backend servers have connections for would only
  * open and close connections; and a gateway that carries more requests learns sooner which backend server is slow.
  * The failure domains get equal numbers, the largest VMs first. Stopping ones count only when no other is left.
- * @param members live gateways. @param most most of them.
+ * @param members live gateways. @param max_count most of them.
  * @return keys of the chosen ones.
  */
-std::set<std::string> choose_active(member_map const& members, std::size_t most);
+std::set<std::string> choose_active(member_map const& members, std::size_t max_count);
 /** What a caller asks before it connects. */
 struct address_query {
     std::string host;   ///< Host that it wants to ask.
@@ -244,7 +245,7 @@
     /** The store came back from an older copy: what was written before is written again. @param era its era now. */
     void on_store_era(store_era era);
     /** Ends the lease, which removes the key. */
-    void end();
+    void revoke();
 
     /** Opaque state, defined in the source file. */
     struct impl;
--- a/src/gateway/address_answers.cpp
+++ b/src/gateway/address_query.cpp
@@ -11,41 +11,41 @@
 /** Most addresses in one answer. */
 constexpr std::size_t max_addresses = 64;
 /** Fewer addresses than this do not make up an answer: one of them may just have failed. */
-constexpr std::size_t fewest_addresses = 2;
+constexpr std::size_t min_addresses = 2;
 
 /** A VM with less than this share of the processor of the largest one is small: at a hundred shards a query
  * takes it most of the time that urgent callers have. */
-constexpr double small_share = 0.3;
+constexpr double small_vm_share = 0.3;
 /** Small VMs are left out as long as the others have this share of the processors: the load is carried all the same. */
-constexpr double enough_share = 0.75;
+constexpr double sufficient_share = 0.75;
 
 /**
  * Fewer queries come late so, and each VM that gets queries sees more of them and learns sooner which backend servers
  * are slow.
  * @return the active members without the small ones, if the others are enough: in each failure domain as well.
  */
-std::set<std::string> without_small(member_map const& members, std::set<std::string> const& active)
+std::set<std::string> without_small_vms(member_map const& members, std::set<std::string> const& active)
 {
     double largest = 0;
     for (auto const& key : active)
         largest = std::max(largest, members.at(key).capacity);
-    std::set<std::string> kept;
-    std::map<domain_name, std::size_t> kept_in;
+    std::set<std::string> large;
+    std::map<domain_name, std::size_t> large_in;
     double all_capacity = 0;
-    double kept_capacity = 0;
+    double large_capacity = 0;
     for (auto const& key : active) {
         auto const& member = members.at(key);
-        auto& in_domain = kept_in[member.domain];
+        auto& in_domain = large_in[member.domain];
         all_capacity += member.capacity;
-        if (member.capacity < small_share * largest) continue;
-        kept_capacity += member.capacity;
-        kept.insert(key);
+        if (member.capacity < small_vm_share * largest) continue;
+        large_capacity += member.capacity;
+        large.insert(key);
         ++in_domain;
     }
-    bool const enough = kept_capacity >= enough_share * all_capacity &&
-                        std::all_of(kept_in.begin(), kept_in.end(),
-                                    [](auto const& domain) { return domain.second >= fewest_addresses; });
-    return enough ? kept : active;
+    bool const enough = large_capacity >= sufficient_share * all_capacity &&
+                        std::all_of(large_in.begin(), large_in.end(),
+                                    [](auto const& domain) { return domain.second >= min_addresses; });
+    return enough ? large : active;
 }
 
 /** @return addresses of the active members that @p wanted accepts. */
@@ -61,13 +61,13 @@
 
 } // namespace
 
-std::set<std::string> choose_active(member_map const& members, std::size_t most)
+std::set<std::string> choose_active(member_map const& members, std::size_t max_count)
 {
     std::map<domain_name, std::vector<member_map::const_iterator>> by_domain;
-    bool const any_staying =
+    bool const any_running =
         std::any_of(members.begin(), members.end(), [](auto const& m) { return !m.second.stopping; });
     for (auto each = members.begin(); each != members.end(); ++each) {
-        if (any_staying && each->second.stopping) continue;
+        if (any_running && each->second.stopping) continue;
         by_domain[each->second.domain].push_back(each);
     }
     std::size_t largest = 0;
@@ -78,11 +78,11 @@
     std::set<std::string> active;
     for (std::size_t rank = 0; rank < largest; ++rank) {
         for (auto const& [domain, list] : by_domain) {
-            if (active.size() >= std::max(most, by_domain.size())) return without_small(members, active);
+            if (active.size() >= std::max(max_count, by_domain.size())) return without_small_vms(members, active);
             if (rank < list.size()) active.insert(list[rank]->first);
         }
     }
-    return without_small(members, active);
+    return without_small_vms(members, active);
 }
 
 std::vector<endpoint> choose_addresses(member_map const& members, std::set<std::string> const& active,
@@ -92,11 +92,11 @@
     auto const in_region = [&](gateway_member const& each) { return each.region == asked.region; };
     auto const in_home = [&](gateway_member const& each) { return homes.contains(each.region); };
     auto const anywhere = [](gateway_member const&) { return true; };
-    auto const enough_elsewhere = homes.empty() ? fewest_addresses : 1;
+    auto const min_elsewhere = homes.empty() ? min_addresses : 1;
     auto chosen = active_members(members, active, in_domain);
-    if (chosen.size() < fewest_addresses) chosen = active_members(members, active, in_region);
-    if (chosen.size() < enough_elsewhere) chosen = active_members(members, active, in_home);
-    if (chosen.size() < enough_elsewhere) chosen = active_members(members, active, anywhere);
+    if (chosen.size() < min_addresses) chosen = active_members(members, active, in_region);
+    if (chosen.size() < min_elsewhere) chosen = active_members(members, active, in_home);
+    if (chosen.size() < min_elsewhere) chosen = active_members(members, active, anywhere);
     std::shuffle(chosen.begin(), chosen.end(), random);
     chosen.resize(std::min(chosen.size(), max_addresses));
     return chosen;
--- a/src/gateway/backend_pool.cpp
+++ b/src/gateway/backend_pool.cpp
@@ -9,16 +9,16 @@
 /** How often idle connections are looked through. */
 constexpr milliseconds sweep_interval{500};
 /** A kept connection whose peer closes it within this time is not used any more. */
-constexpr milliseconds kept_margin{150};
+constexpr milliseconds idle_close_margin{150};
 /** A backend server that could not be connected to ahead is left alone so long. */
-constexpr milliseconds prepare_pause{3000};
+constexpr milliseconds preconnect_retry_interval{3000};
 
 } // namespace
 
 /** State of the pool. */
 struct backend_pool::impl {
     /** A connection under way with an attempt. */
-    struct active {
+    struct active_attempt {
         std::unique_ptr<client_connection> connection; ///< Connection.
         std::shared_ptr<backend_server> server;        ///< Backend server.
         timer_id connect_timer;                        ///< Ends an attempt whose connect hangs.
@@ -26,15 +26,15 @@
     event_loop& loop;                                          ///< Event loop.
     pool_options options;                                      ///< Settings.
     std::function<void(attempt_id, attempt_result)> on_result; ///< Receiver.
-    std::unordered_map<std::uint64_t, active> in_use;          ///< By attempt.
+    std::unordered_map<std::uint64_t, active_attempt> in_use;  ///< By attempt.
     /** Kept connections; a backend server that starts again is another object and has none. */
     std::unordered_map<std::shared_ptr<backend_server>, std::vector<std::unique_ptr<client_connection>>> idle;
     /** A connection that is being opened ahead. */
-    struct preparation {
+    struct pending_connection {
         std::unique_ptr<client_connection> connection; ///< Connection.
-        time_point give_up;                            ///< It hangs then.
+        time_point connect_deadline;                   ///< It hangs then.
     };
-    std::unordered_map<std::shared_ptr<backend_server>, preparation> preparing;  ///< By backend server.
+    std::unordered_map<std::shared_ptr<backend_server>, pending_connection> preconnecting; ///< By backend server.
     std::unordered_map<std::shared_ptr<backend_server>, time_point> unreachable; ///< Not prepared again until then.
     std::uint64_t opened = 0;                                                    ///< Connections opened.
     timer_id sweep_timer;                                                        ///< Next sweep.
@@ -43,12 +43,12 @@
     /** @return the request with the time left at @p now, or nothing when none is left. */
     std::string write_request(outgoing_attempt const& order, time_point now) const;
     void send(outgoing_attempt order);
-    void connect_hangs(attempt_id id);
-    void done(attempt_id id, exchange_result result);
+    void on_connect_timeout(attempt_id id);
+    void on_exchange_done(attempt_id id, exchange_result result);
     attempt_result classify(exchange_result result) const;
-    void keep(std::shared_ptr<backend_server> const& server, std::unique_ptr<client_connection> connection);
-    void prepare(std::shared_ptr<backend_server> const& server);
-    void on_prepared(std::shared_ptr<backend_server> const& server, bool established);
+    void add_idle(std::shared_ptr<backend_server> const& server, std::unique_ptr<client_connection> connection);
+    void preconnect(std::shared_ptr<backend_server> const& server);
+    void on_preconnected(std::shared_ptr<backend_server> const& server, bool established);
     void sweep();
 };
 
@@ -56,14 +56,14 @@
 {
     auto const found = idle.find(order.target);
     if (found == idle.end()) return nullptr;
-    auto& kept = found->second;
+    auto& available = found->second;
     auto const now = loop.now();
-    while (!kept.empty()) {
-        auto connection = std::move(kept.back()); // The one used last is the least likely to be dead.
-        kept.pop_back();
-        if (!connection->reusable() || connection->kept_until() < now + kept_margin) continue;
-        if (!order.idempotent && connection->idle_since() + options.fresh_enough < now) continue;
-        connection->on_idle_end(nullptr);
+    while (!available.empty()) {
+        auto connection = std::move(available.back()); // The one used last is the least likely to be dead.
+        available.pop_back();
+        if (!connection->reusable() || connection->keep_alive_deadline() < now + idle_close_margin) continue;
+        if (!order.idempotent && connection->idle_since() + options.max_idle_non_idempotent < now) continue;
+        connection->on_idle_closed(nullptr);
         return connection;
     }
     return nullptr;
@@ -82,7 +82,7 @@
 
 void backend_pool::impl::send(outgoing_attempt order)
 {
-    active entry;
+    active_attempt entry;
     auto const id = order.id;
     entry.server = order.target;
     entry.connection = take_idle(order);
@@ -91,21 +91,22 @@
         ++opened;
         entry.connection = std::make_unique<client_connection>(loop, order.target->entry.address, stream_options{},
                                                                options.response_limits);
-        entry.connect_timer = loop.run_at(loop.now() + options.connect_limit, [this, id] { connect_hangs(id); });
+        entry.connect_timer = loop.run_at(loop.now() + options.connect_timeout, [this, id] { on_connect_timeout(id); });
     }
     client_connection::exchange exchange;
-    exchange.head = order.head_request;
+    exchange.head_request = order.head_request;
     exchange.matches = [this, expected = std::move(order.request_id)](http_response const& response) {
         auto const echoed = response.header(options.names.request_id);
-        return echoed.empty() || echoed == expected ? client_connection::match::mine : client_connection::match::other;
+        return echoed.empty() || echoed == expected ? client_connection::match::expected
+                                                    : client_connection::match::unexpected;
     };
-    exchange.done = [this, id](exchange_result result) { done(id, std::move(result)); };
-    exchange.write = [this, order = std::move(order)](time_point now) { return write_request(order, now); };
+    exchange.done = [this, id](exchange_result result) { on_exchange_done(id, std::move(result)); };
+    exchange.write_request = [this, order = std::move(order)](time_point now) { return write_request(order, now); };
     auto& stored = in_use.emplace(id.value(), std::move(entry)).first->second;
     stored.connection->start(std::move(exchange));
 }
 
-void backend_pool::impl::connect_hangs(attempt_id id)
+void backend_pool::impl::on_connect_timeout(attempt_id id)
 {
     auto const found = in_use.find(id.value());
     if (found == in_use.end() || found->second.connection->established()) return;
@@ -113,23 +114,23 @@
     on_result(id, {attempt_end::not_sent, {}, "connect timed out"});
 }
 
-void backend_pool::impl::done(attempt_id id, exchange_result result)
+void backend_pool::impl::on_exchange_done(attempt_id id, exchange_result result)
 {
     auto const found = in_use.find(id.value());
     if (found == in_use.end()) return;
     auto entry = std::move(found->second);
     in_use.erase(found);
     loop.cancel(entry.connect_timer);
-    if (result.answered && entry.connection->reusable()) {
-        keep(entry.server, std::move(entry.connection));
+    if (result.completed && entry.connection->reusable()) {
+        add_idle(entry.server, std::move(entry.connection));
     }
     on_result(id, classify(std::move(result)));
 }
 
 attempt_result backend_pool::impl::classify(exchange_result result) const
 {
-    if (result.closed) return {attempt_end::disconnected, {}, result.detail};
-    if (!result.answered) return {result.sent ? attempt_end::lost : attempt_end::not_sent, {}, result.detail};
+    if (result.closed_before_response) return {attempt_end::disconnected, {}, result.detail};
+    if (!result.completed) return {result.sent ? attempt_end::lost : attempt_end::not_sent, {}, result.detail};
     auto& response = result.response;
     constexpr int status_misdirected = 421;
     if (response.status == status_misdirected) return {attempt_end::wrong_server, {}, "another server at the address"};
@@ -140,11 +141,11 @@
     return {attempt_end::answered, std::move(response), ""};
 }
 
-void backend_pool::impl::keep(std::shared_ptr<backend_server> const& server,
-                              std::unique_ptr<client_connection> connection)
+void backend_pool::impl::add_idle(std::shared_ptr<backend_server> const& server,
+                                  std::unique_ptr<client_connection> connection)
 {
     auto* raw = connection.get();
-    connection->on_idle_end([this, server, raw] {
+    connection->on_idle_closed([this, server, raw] {
         // Removed later: this runs inside the connection's own callback.
         loop.run_at(loop.now(), [this, server, raw] {
             auto const found = idle.find(server);
@@ -155,29 +156,29 @@
     idle[server].push_back(std::move(connection));
 }
 
-void backend_pool::impl::prepare(std::shared_ptr<backend_server> const& server)
+void backend_pool::impl::preconnect(std::shared_ptr<backend_server> const& server)
 {
-    if (preparing.contains(server)) return;
+    if (preconnecting.contains(server)) return;
     ++opened;
     auto connection =
         std::make_unique<client_connection>(loop, server->entry.address, stream_options{}, options.response_limits);
     connection->on_connected([this, server](bool established) {
         // Later: this runs inside the connection's own callback.
-        loop.run_at(loop.now(), [this, server, established] { on_prepared(server, established); });
+        loop.run_at(loop.now(), [this, server, established] { on_preconnected(server, established); });
     });
-    preparing[server] = {std::move(connection), loop.now() + options.connect_limit};
+    preconnecting[server] = {std::move(connection), loop.now() + options.connect_timeout};
 }
 
-void backend_pool::impl::on_prepared(std::shared_ptr<backend_server> const& server, bool established)
+void backend_pool::impl::on_preconnected(std::shared_ptr<backend_server> const& server, bool established)
 {
-    auto const found = preparing.find(server);
-    if (found == preparing.end()) return;
+    auto const found = preconnecting.find(server);
+    if (found == preconnecting.end()) return;
     auto connection = std::move(found->second.connection);
-    preparing.erase(found);
+    preconnecting.erase(found);
     if (established && connection->reusable()) {
-        keep(server, std::move(connection));
+        add_idle(server, std::move(connection));
     } else {
-        unreachable[server] = loop.now() + prepare_pause;
+        unreachable[server] = loop.now() + preconnect_retry_interval;
     }
 }
 
@@ -185,15 +186,15 @@
 {
     auto const now = loop.now();
     std::erase_if(unreachable, [now](auto const& each) { return each.second <= now; });
-    std::erase_if(preparing, [&](auto const& each) {
-        bool const hangs = each.second.give_up <= now;
-        if (hangs) unreachable[each.first] = now + prepare_pause;
-        return hangs;
+    std::erase_if(preconnecting, [&](auto const& each) {
+        bool const timed_out = each.second.connect_deadline <= now;
+        if (timed_out) unreachable[each.first] = now + preconnect_retry_interval;
+        return timed_out;
     });
     for (auto entry = idle.begin(); entry != idle.end();) {
         std::erase_if(entry->second, [&](auto const& connection) {
-            return !connection->reusable() || connection->kept_until() < now + kept_margin ||
-                   connection->idle_since() + options.idle_limit < now;
+            return !connection->reusable() || connection->keep_alive_deadline() < now + idle_close_margin ||
+                   connection->idle_since() + options.idle_timeout < now;
         });
         entry = entry->second.empty() ? idle.erase(entry) : std::next(entry);
     }
@@ -219,11 +220,12 @@
     m_impl->in_use.erase(found);
 }
 
-void backend_pool::prepare(std::shared_ptr<backend_server> const& server) { m_impl->prepare(server); }
+void backend_pool::preconnect(std::shared_ptr<backend_server> const& server) { m_impl->preconnect(server); }
 
-bool backend_pool::prepared(std::shared_ptr<backend_server> const& server) const
+bool backend_pool::skip_preconnect(std::shared_ptr<backend_server> const& server) const
 {
-    return m_impl->idle.contains(server) || m_impl->preparing.contains(server) || m_impl->unreachable.contains(server);
+    return m_impl->idle.contains(server) || m_impl->preconnecting.contains(server) ||
+           m_impl->unreachable.contains(server);
 }
 
 std::uint64_t backend_pool::connections_opened() const { return m_impl->opened; }
--- a/src/gateway/caller_server.cpp
+++ b/src/gateway/caller_server.cpp
@@ -7,11 +7,11 @@
 namespace {
 
 /** Bytes of following requests held while one is served; a caller that pipelines more is cut off. */
-constexpr std::size_t held_limit = 256 * 1024;
+constexpr std::size_t max_pipelined_bytes = 256 * 1024;
 /** How long a refused caller may go on sending, so that a reset does not destroy the refusal on its way. */
-constexpr milliseconds linger_limit{1000};
+constexpr milliseconds linger_timeout{1000};
 /** Start line and headers of a question to the system itself. */
-constexpr std::size_t local_header_limit = 8192;
+constexpr std::size_t internal_header_bytes = 8192;
 
 } // namespace
 
@@ -21,13 +21,13 @@
     struct connection {
         std::unique_ptr<tcp_stream> stream;     ///< TCP connection.
         std::unique_ptr<message_reader> reader; ///< Request reader.
-        std::string held;                       ///< Bytes after the request being served.
+        std::string pipelined;                  ///< Bytes after the request being served.
         std::optional<request_key> serving;     ///< Request being served.
-        bool local = false;                     ///< For questions to the system itself.
+        bool internal = false;                  ///< For questions to the system itself.
         bool head = false;                      ///< The request served is HEAD.
         bool close_after = false;               ///< Close when the answer has left.
         bool refused = false;                   ///< Only read until the caller has seen the refusal.
-        bool continued = false;                 ///< 100 Continue was sent.
+        bool sent_continue = false;             ///< 100 Continue was sent.
         timer_id timer;                         ///< Idle, header or linger limit.
     };
     event_loop& loop;                                                    ///< Event loop.
@@ -38,9 +38,9 @@
     std::uint64_t last_connection = 0;                                   ///< Last connection number.
     std::uint64_t last_key = 0;                                          ///< Last request key.
     bool closing = false;                                                ///< Answers close their connections.
-    std::size_t caller_connections = 0;                                  ///< Connections that are not local.
+    std::size_t caller_connections = 0;                                  ///< Connections that are not internal.
 
-    void accept(int socket, bool local);
+    void accept(int socket, bool internal);
     void on_bytes(std::uint64_t number, std::string_view bytes);
     void read_requests(std::uint64_t number, std::string_view bytes);
     void on_request(std::uint64_t number, connection& from);
@@ -77,15 +77,15 @@
 caller_limits caller_server::impl::limits_of(connection const& of) const
 {
     auto limits = service.limits();
-    if (of.local) limits.max_header_bytes = std::max(limits.max_header_bytes, local_header_limit);
+    if (of.internal) limits.max_header_bytes = std::max(limits.max_header_bytes, internal_header_bytes);
     return limits;
 }
 
-void caller_server::impl::accept(int socket, bool local)
+void caller_server::impl::accept(int socket, bool internal)
 {
     auto const number = ++last_connection;
     auto made = std::make_unique<connection>();
-    made->local = local;
+    made->internal = internal;
     auto const limits = limits_of(*made);
     made->reader = std::make_unique<message_reader>(message_reader::kind::request,
                                                     message_limits{limits.max_header_bytes, limits.max_body_bytes});
@@ -99,7 +99,7 @@
     made->stream = std::make_unique<tcp_stream>(loop, socket, stream_options{}, std::move(events));
     set_timer(number, *made, limits.idle_timeout);
     open.emplace(number, std::move(made));
-    if (!local) ++caller_connections;
+    if (!internal) ++caller_connections;
 }
 
 void caller_server::impl::set_timer(std::uint64_t number, connection& of, milliseconds limit)
@@ -125,12 +125,12 @@
     if (found == open.end()) return;
     auto& from = *found->second;
     if (from.refused || from.close_after) return;
-    if (!from.serving && from.held.empty()) {
+    if (!from.serving && from.pipelined.empty()) {
         read_requests(number, bytes);
         return;
     }
-    from.held.append(bytes);
-    if (from.held.size() > held_limit) {
+    from.pipelined.append(bytes);
+    if (from.pipelined.size() > max_pipelined_bytes) {
         service.on_refused(0, "too much was sent ahead");
         on_end(number);
     }
@@ -143,8 +143,8 @@
     auto const used = from.reader->feed(bytes);
     if (from.reader->state() == parse_state::incomplete) {
         if (!was_started) set_timer(number, from, limits_of(from).header_timeout);
-        if (from.reader->expects_continue() && !from.continued) {
-            from.continued = true;
+        if (from.reader->expects_continue() && !from.sent_continue) {
+            from.sent_continue = true;
             from.stream->send("HTTP/1.1 100 Continue\r\n\r\n");
         }
         return;
@@ -154,7 +154,7 @@
         refuse(number, status, reason);
         return;
     }
-    from.held.assign(bytes.substr(used));
+    from.pipelined.assign(bytes.substr(used));
     on_request(number, from);
 }
 
@@ -169,12 +169,12 @@
     from.serving = key;
     from.head = request.method == "HEAD";
     from.close_after = closing || !from.reader->keep_alive();
-    from.continued = false;
+    from.sent_continue = false;
     serving.emplace(key.value(), number);
     loop.cancel(from.timer);
     service.on_request({key,
                         std::move(request),
-                        from.local,
+                        from.internal,
                         {loop.unread_time(), from.stream->round_trip()},
                         caller_address(from.stream->peer_host())});
 }
@@ -189,7 +189,7 @@
     response.body = std::string(reason) + "\n";
     from.refused = true;
     from.stream->send(serialize(response, true));
-    set_timer(number, from, linger_limit);
+    set_timer(number, from, linger_timeout);
 }
 
 void caller_server::impl::on_end(std::uint64_t number)
@@ -198,7 +198,7 @@
     if (found == open.end()) return;
     auto const serving_key = found->second->serving;
     remove(number);
-    if (serving_key) service.on_gone(*serving_key);
+    if (serving_key) service.on_disconnect(*serving_key);
 }
 
 void caller_server::impl::remove(std::uint64_t number)
@@ -209,7 +209,7 @@
     open.erase(found);
     loop.cancel(entry->timer);
     if (entry->serving) serving.erase(entry->serving->value());
-    if (!entry->local) --caller_connections;
+    if (!entry->internal) --caller_connections;
 }
 
 void caller_server::impl::respond(request_key key, http_response response)
@@ -227,19 +227,19 @@
             // Not at once: the answer may be given while the connection's own callback runs.
             loop.run_at(loop.now(), [this, number] { remove(number); });
         } else {
-            set_timer(number, to, linger_limit);
+            set_timer(number, to, linger_timeout);
             to.refused = true;
         }
         return;
     }
     to.reader->restart();
     set_timer(number, to, limits_of(to).idle_timeout);
-    if (to.held.empty()) return;
+    if (to.pipelined.empty()) return;
     loop.run_at(loop.now(), [this, number] {
         auto const again = open.find(number);
         if (again == open.end() || again->second->serving) return;
-        auto const bytes = std::move(again->second->held);
-        again->second->held.clear();
+        auto const bytes = std::move(again->second->pipelined);
+        again->second->pipelined.clear();
         read_requests(number, bytes);
     });
 }
@@ -251,11 +251,11 @@
 
 caller_server::~caller_server() = default;
 
-std::uint16_t caller_server::listen(endpoint const& address, bool local)
+std::uint16_t caller_server::listen(endpoint const& address, bool internal)
 {
     auto* state = m_impl.get();
     m_impl->listeners.push_back(std::make_unique<tcp_listener>(
-        m_impl->loop, address, [state, local](int socket) { state->accept(socket, local); }));
+        m_impl->loop, address, [state, internal](int socket) { state->accept(socket, internal); }));
     return m_impl->listeners.back()->port();
 }
 
--- a/src/gateway/client_connection.cpp
+++ b/src/gateway/client_connection.cpp
@@ -32,13 +32,13 @@
     m_exchange = std::move(next);
     m_sent = false;
     m_reader.restart();
-    if (m_exchange->head) m_reader.expect_no_body();
+    if (m_exchange->head_request) m_reader.expect_no_body();
     if (m_established) send_request();
 }
 
 void client_connection::send_request()
 {
-    auto const bytes = m_exchange->write(m_loop.now());
+    auto const bytes = m_exchange->write_request(m_loop.now());
     if (!bytes.empty()) {
         m_sent = true;
         m_stream->send(bytes);
@@ -46,50 +46,50 @@
     }
     // Later: the owner may be in the middle of starting this exchange.
     m_loop.run_at(m_loop.now(), [this, alive = std::weak_ptr<bool>(m_alive)] {
-        if (!alive.expired() && m_exchange) end_exchange({false, false, false, {}, "no time was left to send it"});
+        if (!alive.expired() && m_exchange) finish_exchange({false, false, false, {}, "no time was left to send it"});
     });
 }
 
-bool client_connection::reusable() const { return !m_broken && m_stream->open() && !m_exchange; }
+bool client_connection::reusable() const { return !m_unusable && m_stream->open() && !m_exchange; }
 
 void client_connection::on_bytes(std::string_view bytes)
 {
-    m_received += bytes.size();
+    m_bytes_received += bytes.size();
     while (!bytes.empty()) {
         if (!m_exchange) { // Bytes that no request waits for belong to nobody.
-            m_broken = true;
-            if (m_idle_end) m_idle_end();
+            m_unusable = true;
+            if (m_on_idle_closed) m_on_idle_closed();
             return;
         }
         auto const used = m_reader.feed(bytes);
         bytes.remove_prefix(used);
         if (m_reader.state() == parse_state::incomplete) return;
         if (m_reader.state() != parse_state::complete) {
-            m_broken = true;
-            end_exchange({false, true, false, {}, "malformed response"});
+            m_unusable = true;
+            finish_exchange({false, true, false, {}, "malformed response"});
             return;
         }
-        if (m_exchange->matches(m_reader.response()) == match::mine) {
-            take_response(bytes);
+        if (m_exchange->matches(m_reader.response()) == match::expected) {
+            handle_response(bytes);
             return;
         }
         // A late answer to an earlier request: the awaited one may still follow, but the connection is suspect.
-        m_broken = true;
+        m_unusable = true;
         m_reader.restart();
-        if (m_exchange->head) m_reader.expect_no_body();
+        if (m_exchange->head_request) m_reader.expect_no_body();
     }
 }
 
-void client_connection::take_response(std::string_view rest)
+void client_connection::handle_response(std::string_view rest)
 {
     // Bytes after the answer, or an answer before the whole request has left, make the connection unusable.
-    if (!rest.empty() || !m_reader.keep_alive() || m_stream->unsent() > 0) m_broken = true;
+    if (!rest.empty() || !m_reader.keep_alive() || m_stream->unsent() > 0) m_unusable = true;
     exchange_result result{true, true, false, std::move(m_reader.response()), ""};
-    note_keep_alive(result.response);
-    end_exchange(std::move(result));
+    update_keep_alive_deadline(result.response);
+    finish_exchange(std::move(result));
 }
 
-void client_connection::note_keep_alive(http_response const& response)
+void client_connection::update_keep_alive_deadline(http_response const& response)
 {
     auto const value = response.header("keep-alive");
     auto const at = value.find("timeout=");
@@ -97,24 +97,24 @@
     int seconds = 0;
     auto const* begin = value.data() + at + std::string_view("timeout=").size();
     if (std::from_chars(begin, value.data() + value.size(), seconds).ec != std::errc()) return;
-    m_kept_until = m_loop.now() + std::chrono::seconds(seconds) - keep_alive_margin;
+    m_keep_alive_deadline = m_loop.now() + std::chrono::seconds(seconds) - keep_alive_margin;
 }
 
 void client_connection::on_end(stream_end how)
 {
-    m_broken = true;
+    m_unusable = true;
     if (!m_exchange) {
         if (auto const hook = std::exchange(m_on_connected, nullptr)) {
             hook(false);
-        } else if (m_idle_end) {
-            m_idle_end();
+        } else if (m_on_idle_closed) {
+            m_on_idle_closed();
         }
         return;
     }
     if (how == stream_end::closed && m_reader.headers_done()) {
         m_reader.finish();
-        if (m_reader.state() == parse_state::complete && m_exchange->matches(m_reader.response()) == match::mine) {
-            take_response({});
+        if (m_reader.state() == parse_state::complete && m_exchange->matches(m_reader.response()) == match::expected) {
+            handle_response({});
             return;
         }
     }
@@ -125,10 +125,10 @@
                          : m_used                    ? "kept connection reset"
                                                      : "reset without a response";
     bool const closed = sent && how == stream_end::closed && !m_reader.started();
-    end_exchange({false, sent, closed, {}, detail});
+    finish_exchange({false, sent, closed, {}, detail});
 }
 
-void client_connection::end_exchange(exchange_result result)
+void client_connection::finish_exchange(exchange_result result)
 {
     auto const done = std::move(m_exchange->done);
     m_exchange.reset();
--- a/src/gateway/feed_calls.cpp
+++ b/src/gateway/feed_calls.cpp
@@ -16,7 +16,7 @@
                        [this, call, done](exchange_result const& result) { done(reply_of(call, result)); });
     };
     made.check_freshness = [this](feed_call call, feed_io::response_handler done) {
-        ask(std::move(call), std::move(done));
+        check_freshness(std::move(call), std::move(done));
     };
     made.now = [this] { return m_loop.now(); };
     made.run_at = [this](time_point when, std::function<void()> task) { m_loop.run_at(when, std::move(task)); };
@@ -36,7 +36,7 @@
 
 feed_response feed_calls::reply_of(feed_call const& call, exchange_result const& result) const
 {
-    if (!result.answered) return {0, result.detail, {}};
+    if (!result.completed) return {0, result.detail, {}};
     if (result.response.status != 200) return {result.response.status, "", {}};
     try {
         return {200, "", codec(call.source).parse_batch(result.response)};
@@ -45,17 +45,17 @@
     }
 }
 
-void feed_calls::ask(feed_call call, feed_io::response_handler done)
+void feed_calls::check_freshness(feed_call call, feed_io::response_handler done)
 {
-    auto const number = ++m_last_ask;
-    auto& channel = m_asks[number] = std::make_unique<store_channel>(m_loop);
+    auto const number = ++m_last_freshness_call;
+    auto& channel = m_freshness_calls[number] = std::make_unique<store_channel>(m_loop);
     auto const address = call.source.address;
     auto const limit = call.timeout;
     auto request = request_of(call);
     channel->call(address, std::move(request), limit,
                   [this, number, call = std::move(call), done = std::move(done)](exchange_result const& result) {
                       auto const reply = reply_of(call, result);
-                      m_asks.erase(number);
+                      m_freshness_calls.erase(number);
                       done(reply);
                   });
 }
--- a/src/gateway/feed_calls.hpp
+++ b/src/gateway/feed_calls.hpp
@@ -21,14 +21,14 @@
     /** @return the calls that @p source takes. */
     store_codec const& codec(feed_source const& source) const { return source.is_store() ? m_store : m_peer; }
     /** Asks for proof on a connection of its own, which is closed after the answer. */
-    void ask(feed_call call, feed_io::response_handler done);
+    void check_freshness(feed_call call, feed_io::response_handler done);
 
-    event_loop& m_loop;                                             ///< Event loop.
-    store_codec const& m_store;                                     ///< Store calls.
-    store_codec const& m_peer;                                      ///< Calls to another gateway.
-    store_channel m_channel;                                        ///< For the state.
-    std::map<std::uint64_t, std::unique_ptr<store_channel>> m_asks; ///< Questions for proof under way.
-    std::uint64_t m_last_ask = 0;                                   ///< Number of the last question.
+    event_loop& m_loop;                                                        ///< Event loop.
+    store_codec const& m_store;                                                ///< Store calls.
+    store_codec const& m_peer;                                                 ///< Calls to another gateway.
+    store_channel m_channel;                                                   ///< For the state.
+    std::map<std::uint64_t, std::unique_ptr<store_channel>> m_freshness_calls; ///< Questions for proof under way.
+    std::uint64_t m_last_freshness_call = 0;                                   ///< Number of the last question.
 };
 
 } // namespace cornelspring
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -11,9 +11,9 @@
  * it serves on: a VM that is restarted comes back only after the whole stop time, however early it ends, and when many
  * are restarted in turn the others may be away. Ending early left no gateway at all for seconds.
  */
-constexpr milliseconds finish_time{1200};
+constexpr milliseconds drain_time{1200};
 /** How often a stopping gateway looks whether its work is done. */
-constexpr milliseconds stop_poll{50};
+constexpr milliseconds stop_poll_interval{50};
 
 } // namespace
 
@@ -34,14 +34,14 @@
     };
     requests = std::make_unique<dispatcher>(settings.dispatch, configs, registry, places, quarantine, std::move(hooks),
                                             random());
-    requests->set_vm_count(least_vms);
+    requests->set_vm_count(min_vms);
 }
 
-void gateway::impl::make_callers()
+void gateway::impl::make_caller_server()
 {
     caller_server::hooks hooks;
     hooks.on_request = [this](caller_request request) { on_request(std::move(request)); };
-    hooks.on_gone = [this](request_key key) {
+    hooks.on_disconnect = [this](request_key key) {
         followers.cancel(key);
         requests->on_caller_disconnected(key, loop.now());
         wake_dispatcher();
@@ -69,7 +69,7 @@
     });
 }
 
-gateway_member gateway::impl::self() const
+gateway_member gateway::impl::own_member() const
 {
     return {settings.caller_address.value_or(endpoint{}),
             settings.peer_address.value_or(endpoint{}),
@@ -84,14 +84,14 @@
 void gateway::impl::on_request(caller_request request)
 {
     if (request.internal) {
-        on_local(request.key, request.message);
+        on_internal_request(request.key, request.message);
         return;
     }
     requests->start(request.key, std::move(request.message), request.timing, std::move(request.caller), loop.now());
     wake_dispatcher();
 }
 
-void gateway::impl::on_local(request_key key, http_request const& request)
+void gateway::impl::on_internal_request(request_key key, http_request const& request)
 {
     auto const path = request.path.substr(0, request.path.find('?'));
     http_response response;
@@ -100,9 +100,9 @@
     } else if (path == settings.ready_path) {
         response.status = ready() ? 200 : 503;
     } else if (path == settings.addresses_path) {
-        response = addresses(request.path);
+        response = address_response(request.path);
     } else if (path == peer_paths::state || path == peer_paths::changes || path == peer_paths::freshness) {
-        on_follower(key, request);
+        on_follower_request(key, request);
         return;
     } else if (path == settings.metrics_path) {
         metrics.set_state({requests->open_requests(), callers->connections(), pool->connections_opened(),
@@ -116,7 +116,7 @@
     callers->respond(key, std::move(response));
 }
 
-http_response gateway::impl::addresses(std::string const& target)
+http_response gateway::impl::address_response(std::string const& target)
 {
     auto const asked = settings.decode_address_query(target);
     auto const homes = configs.current() ? configs.current()->homes_of_host(asked.host) : region_set{};
@@ -141,9 +141,9 @@
     }
     if (stopping) return;
     stopping = true;
-    stop_began = loop.now();
+    stop_started_at = loop.now();
     log.process("stopping");
-    if (settings.caller_address) registered->set(member_key(), encode_member(self()));
+    if (settings.caller_address) member_registration->set(member_key(), encode_member(own_member()));
     callers->close_after_responses();
     stop_step();
 }
@@ -151,18 +151,18 @@
 void gateway::impl::stop_step()
 {
     auto const now = loop.now();
-    if (!stopped_accepting && now >= stop_began + settings.stop_timeout - finish_time) {
+    if (!stopped_accepting && now >= stop_started_at + settings.stop_timeout - drain_time) {
         stopped_accepting = true;
-        registered->end();
+        member_registration->revoke();
         callers->stop_listening();
     }
     bool const idle = stopped_accepting && requests->open_requests() == 0 && callers->connections() == 0;
-    if (idle || now >= stop_began + settings.stop_timeout) {
+    if (idle || now >= stop_started_at + settings.stop_timeout) {
         requests->finish_all(now);
-        loop.run_at(now + stop_poll, [this] { loop.stop(); });
+        loop.run_at(now + stop_poll_interval, [this] { loop.stop(); });
         return;
     }
-    loop.run_at(now + stop_poll, [this] { stop_step(); });
+    loop.run_at(now + stop_poll_interval, [this] { stop_step(); });
 }
 
 gateway::gateway(gateway_settings settings, store_codec codec)
--- a/src/gateway/gateway_impl.hpp
+++ b/src/gateway/gateway_impl.hpp
@@ -16,7 +16,7 @@
 /** What lapsed during a store outage, or was lost with it, has this long to come back after its return. */
 inline constexpr milliseconds lapse_grace{2200};
 /** Gateways assumed to share the budgets before the others are known. */
-inline constexpr std::size_t least_vms = 3;
+inline constexpr std::size_t min_vms = 3;
 
 /** State of the gateway. */
 struct gateway::impl {
@@ -30,8 +30,8 @@
     member_map members;                   ///< Gateways.
     std::set<std::string> active;         ///< Gateways that callers are sent to.
     state_mirror mirror;                  ///< Copy of the store.
-    int store_answers = 0;                ///< Answers of the store in a row since the last full read.
-    std::vector<learned_change> changes;  ///< What the answer that is being taken in changed.
+    int store_responses = 0;              ///< Answers of the store in a row since the last full read.
+    std::vector<state_change> changes;    ///< What the answer that is being taken in changed.
     bool store_up = false;                ///< The last call to the store succeeded.
     deferred_removals missing;            ///< What the store lost when it came back from an older copy.
     std::uint64_t superseded = 0;         ///< Changes left out so far.
@@ -41,21 +41,21 @@
     gateway_log log;                      ///< Decision log.
     std::unique_ptr<dispatcher> requests; ///< Decisions on requests.
     std::unique_ptr<backend_pool> pool;   ///< Connections to backend servers.
-    std::vector<std::shared_ptr<backend_server>> connections_ahead; ///< To be opened, the most useful first.
-    std::unique_ptr<caller_server> callers;                         ///< Connections of callers.
-    store_codec peer_codec;                                         ///< Calls to other gateways.
-    feed_calls source_calls;                                        ///< Calls of the feed.
-    std::unique_ptr<state_feed> feed;                               ///< Keeps the copy of the store current.
-    std::unique_ptr<registration> registered;                       ///< This VM's key in the store.
-    std::unique_ptr<registration> crash_records;    ///< Its key for requests that crash backend servers.
-    bool crash_records_due = false;                 ///< It is about to be written.
-    bool tells_crash_records = false;               ///< This process has seen something to tell.
-    std::mt19937_64 random{std::random_device{}()}; ///< Order of address answers.
-    timer_id dispatch_timer;                        ///< Wakes the dispatcher.
-    time_point dispatch_due = time_point::max();    ///< When it does.
-    bool stopping = false;                          ///< A stop signal came.
-    time_point stop_began;                          ///< When.
-    bool stopped_accepting = false;                 ///< Listeners are closed.
+    std::vector<std::shared_ptr<backend_server>> preconnect_queue; ///< To be opened, the most useful first.
+    std::unique_ptr<caller_server> callers;                        ///< Connections of callers.
+    store_codec peer_codec;                                        ///< Calls to other gateways.
+    feed_calls source_calls;                                       ///< Calls of the feed.
+    std::unique_ptr<state_feed> feed;                              ///< Keeps the copy of the store current.
+    std::unique_ptr<registration> member_registration;             ///< This VM's key in the store.
+    std::unique_ptr<registration> crash_registration;              ///< Its key for requests that crash backend servers.
+    bool crash_records_pending = false;                            ///< It is about to be written.
+    bool has_own_crash_records = false;                            ///< This process has seen something to tell.
+    std::mt19937_64 random{std::random_device{}()};                ///< Order of address answers.
+    timer_id dispatch_timer;                                       ///< Wakes the dispatcher.
+    time_point dispatch_due = time_point::max();                   ///< When it does.
+    bool stopping = false;                                         ///< A stop signal came.
+    time_point stop_started_at;                                    ///< When.
+    bool stopped_accepting = false;                                ///< Listeners are closed.
 
     impl(gateway_settings s, store_codec c)
         : settings(std::move(s)), codec(std::move(c)), registry(settings.location, lapse_grace),
@@ -65,15 +65,15 @@
         loop.set_uplink(settings.uplink_bytes_per_s);
         followers.set_uplink(settings.uplink_bytes_per_s);
         make_dispatcher();
-        make_callers();
+        make_caller_server();
         make_feed();
-        plan_connections_ahead();
+        plan_preconnects();
     }
 
     /** Makes the dispatcher and the backend pool. */
     void make_dispatcher();
     /** Listens on all addresses. */
-    void make_callers();
+    void make_caller_server();
     /** Makes the feed of the store and the registration. */
     void make_feed();
     /** Arms the timer for the next due time of the dispatcher. */
@@ -83,40 +83,40 @@
     /** @return the store key of this VM's registration. */
     std::string member_key() const { return member_prefix + settings.name; }
     /** @return what this VM registers. */
-    gateway_member self() const;
+    gateway_member own_member() const;
 
     /** Looks to which backend servers connections are missing. */
-    void plan_connections_ahead();
+    void plan_preconnects();
     /** Opens some of these, and the others later. */
-    void open_connections_ahead();
+    void open_preconnects();
 
     /** Takes in a request. */
     void on_request(caller_request request);
     /** Answers one of the system's own questions. */
-    void on_local(request_key key, http_request const& request);
+    void on_internal_request(request_key key, http_request const& request);
     /** @return the answer to an address question. */
-    http_response addresses(std::string const& target);
+    http_response address_response(std::string const& target);
 
     /** @return how the gateways that follow this one are answered. */
     state_publisher::hooks follower_hooks();
     /** Takes in what another gateway asks of the copy of the store. */
-    void on_follower(request_key key, http_request const& request);
+    void on_follower_request(request_key key, http_request const& request);
 
     /** Notes whether a call to the store succeeded. */
     void on_store_call(bool ok);
     /** The store is back after an outage. */
     void on_store_back();
     /** @return what to take in of the first read of an era, @p differences to what was known before. */
-    std::vector<store_item> on_restored(std::vector<store_item> differences, store_position known,
-                                        store_position as_of);
+    std::vector<store_item> on_store_restored(std::vector<store_item> differences, store_position known,
+                                              store_position as_of);
     /** Takes in that what was missing after a return of the store to an older copy was not written again. */
-    void release_missing();
+    void apply_missing_removals();
     /** Takes in everything there is in the store. */
     void on_snapshot(std::vector<store_item> const& items, store_position as_of);
     /** Takes in changes of the store. */
     void on_changes(std::vector<store_item> const& items, store_position as_of);
     /** Takes over what follows from changes of the copy. */
-    void take_in(std::vector<store_item> const& changes, store_position as_of);
+    void apply_changes(std::vector<store_item> const& changes, store_position as_of);
     /** Takes over what follows from the set of gateways. */
     void refresh_members();
     /** Takes in one item, or its removal. */
@@ -140,7 +140,7 @@
     /** Takes in what a gateway tells of requests that crash backend servers. */
     void on_crash_records(store_item const& item);
     /** Notes a change, for the log. */
-    void note(std::string name, change_kind kind, store_position position);
+    void record_change(std::string name, change_kind kind, store_position position);
     /** Logs what was noted since the last time. */
     void log_changes(store_position as_of);
     /** Drops entries that did not return after a store outage. */
--- a/src/gateway/gateway_log.cpp
+++ b/src/gateway/gateway_log.cpp
@@ -7,16 +7,16 @@
 namespace {
 
 /** Lines about requests written in one second; beyond it they are counted and left out. */
-constexpr int request_lines = 100;
+constexpr int request_lines_per_s = 100;
 /** The same for lines about the source of the store's state. */
-constexpr int source_lines = 20;
+constexpr int source_lines_per_s = 20;
 /** The same for lines about what was learned: an answer of a source each 0.25 s. */
-constexpr int learned_lines = 5;
+constexpr int learned_lines_per_s = 5;
 /** The same for lines about requests that crash backend servers. */
-constexpr int quarantine_lines = 20;
+constexpr int quarantine_lines_per_s = 20;
 
 /** Keys of unreadable items that are remembered, so that each is written once. */
-constexpr std::size_t bad_items_kept = 1000;
+constexpr std::size_t max_bad_items = 1000;
 
 /** Appends @p text to @p line as a JSON string; what comes from callers is escaped by the JSON library. */
 void append_quoted(std::string& line, std::string const& text)
@@ -69,7 +69,7 @@
     case change_kind::ready: return "ready";
     case change_kind::draining: return "draining";
     case change_kind::lapsed: return "lapsed";
-    case change_kind::gone: return "gone";
+    case change_kind::removed: return "gone";
     case change_kind::joined: return "joined";
     case change_kind::left: return "left";
     }
@@ -84,7 +84,7 @@
 }
 
 /** @return the line that names one change. */
-nlohmann::json line_of(learned_change const& change)
+nlohmann::json format_change(state_change const& change)
 {
     auto const* kind = to_string(change.kind);
     bool const member = change.kind == change_kind::joined || change.kind == change_kind::left;
@@ -112,7 +112,7 @@
 
 void gateway_log::on_request(request_summary const& summary, milliseconds state_age)
 {
-    if (!allowed(m_requests, request_lines)) return;
+    if (!allowed(m_requests, request_lines_per_s)) return;
     // The only frequent line, so it is put together by hand: a JSON object costs several times as much, a
     // noticeable part of the processor time of a request.
     std::string line = "{\"event\":\"request\",\"id\":";
@@ -152,7 +152,7 @@
 
 void gateway_log::on_refused(int status, char const* reason)
 {
-    if (allowed(m_requests, request_lines)) write({{"event", "refused"}, {"status", status}, {"reason", reason}});
+    if (allowed(m_requests, request_lines_per_s)) write({{"event", "refused"}, {"status", status}, {"reason", reason}});
 }
 
 void gateway_log::dependency(char const* name, char const* change, milliseconds outage)
@@ -162,7 +162,7 @@
 
 void gateway_log::source(feed_source const& source, char const* change, char const* reason, milliseconds state_age)
 {
-    if (!allowed(m_sources, source_lines)) return;
+    if (!allowed(m_sources, source_lines_per_s)) return;
     write({{"event", "state_source"},
            {"source", source.is_store() ? "store" : source.peer_key},
            {"change", change},
@@ -172,7 +172,7 @@
 
 void gateway_log::bad_item(std::string const& key, store_position position, char const* reason)
 {
-    if (m_bad_items.size() >= bad_items_kept) m_bad_items.clear();
+    if (m_bad_items.size() >= max_bad_items) m_bad_items.clear();
     if (std::exchange(m_bad_items[key], reason) == reason) return;
     nlohmann::json line{{"event", "bad_item"}, {"key", key}, {"reason", reason}};
     add_position(line, position);
@@ -191,7 +191,7 @@
 
 void gateway_log::superseded(std::uint64_t count, store_position position, store_position known)
 {
-    if (!allowed(m_learned, learned_lines)) return;
+    if (!allowed(m_learned, learned_lines_per_s)) return;
     nlohmann::json line{{"event", "superseded"},
                         {"changes", count},
                         {"known_era", known.era.value()},
@@ -217,31 +217,31 @@
     write(line);
 }
 
-void gateway_log::learned(std::vector<learned_change> const& changes, bool named, store_position position,
+void gateway_log::learned(std::vector<state_change> const& changes, bool named, store_position position,
                           milliseconds state_age)
 {
     if (changes.empty()) return;
     nlohmann::json line{{"event", "learned"}, {"state_age_ms", state_age.count()}};
     add_position(line, position);
-    for (auto const kind : {change_kind::ready, change_kind::draining, change_kind::lapsed, change_kind::gone,
+    for (auto const kind : {change_kind::ready, change_kind::draining, change_kind::lapsed, change_kind::removed,
                             change_kind::joined, change_kind::left})
         line[to_string(kind)] = 0;
     for (auto const& change : changes) {
         auto& count = line[to_string(change.kind)];
         count = count.get<int>() + 1;
-        if (named) write(line_of(change));
+        if (named) write(format_change(change));
     }
-    if (allowed(m_learned, learned_lines)) write(line);
+    if (allowed(m_learned, learned_lines_per_s)) write(line);
 }
 
-void gateway_log::quarantine(request_quarantine::change const& change, milliseconds left)
+void gateway_log::quarantine(request_quarantine::change const& change, milliseconds remaining)
 {
-    if (!allowed(m_quarantine, quarantine_lines)) return;
+    if (!allowed(m_quarantine, quarantine_lines_per_s)) return;
     write({{"event", "quarantine"},
            {"digest", change.digest.value()},
            {"standing", to_string(change.standing)},
            {"crashes", change.crashes},
-           {"left_ms", left.count()},
+           {"left_ms", remaining.count()},
            {"source", change.source.empty() ? "here" : change.source}});
 }
 
--- a/src/gateway/gateway_log.hpp
+++ b/src/gateway/gateway_log.hpp
@@ -10,13 +10,13 @@
     ready,    ///< A backend server that is new, or back.
     draining, ///< One that leaves.
     lapsed,   ///< One without an entry since an outage of the store.
-    gone,     ///< One that was removed.
+    removed,  ///< One that was removed.
     joined,   ///< A gateway that joined.
     left,     ///< A gateway that left.
 };
 
 /** A change of what this VM believes, learned from a source. */
-struct learned_change {
+struct state_change {
     std::string name;                      ///< Id of the backend server, or store key of the gateway.
     change_kind kind = change_kind::ready; ///< What became of it.
     store_position position;               ///< Where the change stands in the store's history.
@@ -59,11 +59,11 @@
      * @param changes what changed; no line when it is empty. @param named whether each gets a line. @param position
      * of the answer. @param state_age age of the copy.
      */
-    void learned(std::vector<learned_change> const& changes, bool named, store_position position,
-                 milliseconds state_age);
-    /** What is believed of a request changed. @param change what and why. @param left how long it stays in quarantine.
+    void learned(std::vector<state_change> const& changes, bool named, store_position position, milliseconds state_age);
+    /** What is believed of a request changed. @param change what and why. @param remaining how long it stays in
+     * quarantine.
      */
-    void quarantine(request_quarantine::change const& change, milliseconds left);
+    void quarantine(request_quarantine::change const& change, milliseconds remaining);
     /** The process started, stops or reloads. @param event which. */
     void process(char const* event);
 
--- a/src/gateway/gateway_state.cpp
+++ b/src/gateway/gateway_state.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /** What was seen of crashing requests is told once in this time: servers of many shards end within it. */
-constexpr milliseconds crash_records_gap{50};
+constexpr milliseconds crash_records_delay{50};
 /** Connections of a backend server for each active gateway, those left free for restarts included. */
 constexpr double connections_per_gateway = 3.3;
 
@@ -46,7 +46,7 @@
         if (other) log.source(source, "used", "", followers.age());
     };
     events.on_current_response = [this](feed_source const& source, milliseconds unheard) {
-        store_answers = source.is_store() ? store_answers + 1 : 0;
+        store_responses = source.is_store() ? store_responses + 1 : 0;
         if (source.is_store()) on_store_call(true);
         // A follower may not have called the store itself during an outage.
         if (unheard > max_fresh_age) on_store_back();
@@ -56,10 +56,10 @@
     feed_selector_settings const place{settings.store, member_key(), settings.location.domain, settings.location.region,
                                        settings.seeds};
     feed = std::make_unique<state_feed>(feed_selector(place, random()), source_calls.io(), std::move(events));
-    registered = std::make_unique<registration>(loop, settings.store, codec, settings.lease_ttl,
-                                                [this](bool ok) { on_store_call(ok); });
-    crash_records = std::make_unique<registration>(loop, settings.store, codec, crash_records_ttl,
-                                                   [this](bool ok) { on_store_call(ok); });
+    member_registration = std::make_unique<registration>(loop, settings.store, codec, settings.lease_ttl,
+                                                         [this](bool ok) { on_store_call(ok); });
+    crash_registration = std::make_unique<registration>(loop, settings.store, codec, crash_records_ttl,
+                                                        [this](bool ok) { on_store_call(ok); });
     quarantine.on_change([this](auto const& change) { on_quarantine(change); });
 }
 
@@ -105,7 +105,7 @@
     return hooks;
 }
 
-void gateway::impl::on_follower(request_key key, http_request const& request)
+void gateway::impl::on_follower_request(request_key key, http_request const& request)
 {
     auto const path = request.path.substr(0, request.path.find('?'));
     follower_request asked;
@@ -122,17 +122,17 @@
 
 void gateway::impl::on_snapshot(std::vector<store_item> const& items, store_position as_of)
 {
-    store_answers = 0;
+    store_responses = 0;
     auto const known = mirror.as_of();
     auto differences = mirror.replace(items, as_of);
     bool const restored = known != store_position() && known.era != as_of.era;
-    if (restored) differences = on_restored(std::move(differences), known, as_of);
-    take_in(differences, as_of);
-    if (settings.caller_address) registered->set(member_key(), encode_member(self()));
+    if (restored) differences = on_store_restored(std::move(differences), known, as_of);
+    apply_changes(differences, as_of);
+    if (settings.caller_address) member_registration->set(member_key(), encode_member(own_member()));
 }
 
-std::vector<store_item> gateway::impl::on_restored(std::vector<store_item> differences, store_position known,
-                                                   store_position as_of)
+std::vector<store_item> gateway::impl::on_store_restored(std::vector<store_item> differences, store_position known,
+                                                         store_position as_of)
 {
     auto const all = differences.size();
     auto const until = loop.now() + lapse_grace;
@@ -140,30 +140,30 @@
     log.store_restored(as_of, known, all - taken.size());
     // Gateways tell what they know of crashes again in this era; what the copy holds of it may be older than that.
     std::erase_if(taken, [](store_item const& item) { return item.key.starts_with(crash_records_prefix); });
-    registered->on_store_era(as_of.era);
-    crash_records->on_store_era(as_of.era);
+    member_registration->on_store_era(as_of.era);
+    crash_registration->on_store_era(as_of.era);
     on_store_back();
-    loop.run_at(until, [this] { release_missing(); });
+    loop.run_at(until, [this] { apply_missing_removals(); });
     return taken;
 }
 
-void gateway::impl::release_missing()
+void gateway::impl::apply_missing_removals()
 {
     // Nothing is known to be missing while nobody confirms the copy.
     if (followers.age() > max_fresh_age) {
         missing.postpone(loop.now() + lapse_grace);
-        loop.run_at(loop.now() + lapse_grace, [this] { release_missing(); });
+        loop.run_at(loop.now() + lapse_grace, [this] { apply_missing_removals(); });
         return;
     }
-    take_in(missing.take_due(loop.now()), mirror.as_of());
+    apply_changes(missing.take_due(loop.now()), mirror.as_of());
 }
 
 void gateway::impl::on_changes(std::vector<store_item> const& items, store_position as_of)
 {
-    take_in(mirror.apply(items, as_of), as_of);
+    apply_changes(mirror.apply(items, as_of), as_of);
 }
 
-void gateway::impl::take_in(std::vector<store_item> const& changes, store_position as_of)
+void gateway::impl::apply_changes(std::vector<store_item> const& changes, store_position as_of)
 {
     for (auto const& item : changes) {
         missing.cancel(item.key);
@@ -175,7 +175,7 @@
     log_changes(as_of);
 }
 
-void gateway::impl::note(std::string name, change_kind kind, store_position position)
+void gateway::impl::record_change(std::string name, change_kind kind, store_position position)
 {
     changes.push_back({std::move(name), kind, position});
 }
@@ -183,7 +183,7 @@
 void gateway::impl::log_changes(store_position as_of)
 {
     // All VMs of a start watch the store once after their full read; those that do so again are its readers.
-    bool const reads_store = store_answers > 1;
+    bool const reads_store = store_responses > 1;
     log.learned(std::exchange(changes, {}), reads_store, as_of, followers.age());
 }
 
@@ -195,7 +195,7 @@
     active = choose_active(members, most);
     // Those that callers are not sent to see next to no requests; one that is not active counts itself among all.
     auto const sharing = active.contains(member_key()) ? active.size() : members.size();
-    requests->set_vm_count(std::max(sharing, least_vms));
+    requests->set_vm_count(std::max(sharing, min_vms));
     places.shares().set_sharers(active, member_key(), loop.now());
 }
 
@@ -245,7 +245,7 @@
 void gateway::impl::remove_backend(backend_id const& id, store_position position)
 {
     if (!registry.remove(id, loop.now())) return;
-    note(id.value(), registry.find(id) ? change_kind::lapsed : change_kind::gone, position);
+    record_change(id.value(), registry.find(id) ? change_kind::lapsed : change_kind::removed, position);
 }
 
 void gateway::impl::on_backend(store_item const& item)
@@ -257,30 +257,30 @@
     }
     auto const entry = codec.parse_backend(id.value(), item.value);
     if (!registry.apply(entry, loop.now())) return;
-    note(id.value(), entry.draining ? change_kind::draining : change_kind::ready, item.position);
+    record_change(id.value(), entry.draining ? change_kind::draining : change_kind::ready, item.position);
 }
 
 void gateway::impl::on_member(store_item const& item)
 {
     if (item.removed) {
         members.erase(item.key);
-        note(item.key, change_kind::left, item.position);
-        if (item.key == member_key()) registered->on_removed();
+        record_change(item.key, change_kind::left, item.position);
+        if (item.key == member_key()) member_registration->on_removed();
         return;
     }
     bool const is_new = members.insert_or_assign(item.key, decode_member(item.value)).second;
-    if (is_new) note(item.key, change_kind::joined, item.position);
+    if (is_new) record_change(item.key, change_kind::joined, item.position);
 }
 
 void gateway::impl::on_quarantine(request_quarantine::change const& change)
 {
     log.quarantine(change, quarantine.quarantine_left(change.digest, loop.now()));
     if (!change.to_tell) return; // Each gateway tells only what it has seen itself.
-    tells_crash_records = true;
-    if (std::exchange(crash_records_due, true)) return;
-    loop.run_at(loop.now() + crash_records_gap, [this] {
-        crash_records_due = false;
-        crash_records->set(crash_records_key(), encode_crash_records(quarantine.told(loop.now())));
+    has_own_crash_records = true;
+    if (std::exchange(crash_records_pending, true)) return;
+    loop.run_at(loop.now() + crash_records_delay, [this] {
+        crash_records_pending = false;
+        crash_registration->set(crash_records_key(), encode_crash_records(quarantine.told(loop.now())));
     });
 }
 
@@ -290,8 +290,8 @@
     if (item.key != crash_records_key()) {
         quarantine.learn(item.key, records, loop.now());
     } else if (item.removed) {
-        crash_records->on_removed();
-    } else if (!tells_crash_records) {
+        crash_registration->on_removed();
+    } else if (!has_own_crash_records) {
         quarantine.resume(records, loop.now());
     }
 }
@@ -299,7 +299,7 @@
 void gateway::impl::expire_lapsed()
 {
     for (auto const& id : registry.expire(loop.now()))
-        note(id.value(), change_kind::gone, mirror.as_of());
+        record_change(id.value(), change_kind::removed, mirror.as_of());
     log_changes(mirror.as_of());
 }
 
--- a/src/gateway/store_channel.cpp
+++ b/src/gateway/store_channel.cpp
@@ -6,11 +6,11 @@
 
 /** An answer that has begun is given up when nothing of it arrives for so long. Large ones take a while on a small
  * link: given up and asked for anew, they never arrive. */
-constexpr milliseconds progress_limit{500};
+constexpr milliseconds progress_timeout{500};
 
 } // namespace
 
-void store_channel::call(endpoint const& peer, http_request request, milliseconds limit,
+void store_channel::call(endpoint const& peer, http_request request, milliseconds timeout,
                          std::function<void(exchange_result const&)> done)
 {
     if (!m_connection || !m_connection->reusable() || m_peer != peer) {
@@ -19,24 +19,24 @@
         m_connection = std::make_unique<client_connection>(m_loop, peer, options, message_limits{});
         m_peer = peer;
     }
-    m_loop.cancel(m_limit);
-    auto const number = ++m_call;
+    m_loop.cancel(m_timeout_timer);
+    auto const number = ++m_call_number;
     request.headers.insert(request.headers.begin(), {"host", peer.to_string()});
-    watch_limit(number, m_connection->received(), limit, done);
+    arm_timeout(number, m_connection->bytes_received(), timeout, done);
     client_connection::exchange exchange;
-    exchange.write = [bytes = serialize(request)](time_point) { return bytes; };
-    exchange.matches = [](http_response const&) { return client_connection::match::mine; };
+    exchange.write_request = [bytes = serialize(request)](time_point) { return bytes; };
+    exchange.matches = [](http_response const&) { return client_connection::match::expected; };
     exchange.done = [this, number, done](exchange_result result) { finish(number, std::move(result), done); };
     m_connection->start(std::move(exchange));
 }
 
-void store_channel::watch_limit(std::uint64_t number, std::uint64_t received, milliseconds limit,
+void store_channel::arm_timeout(std::uint64_t number, std::uint64_t received, milliseconds timeout,
                                 std::function<void(exchange_result const&)> const& done)
 {
-    m_limit = m_loop.run_at(m_loop.now() + limit, [this, number, received, done] {
-        auto const by_now = m_connection->received();
+    m_timeout_timer = m_loop.run_at(m_loop.now() + timeout, [this, number, received, done] {
+        auto const by_now = m_connection->bytes_received();
         if (by_now > received) {
-            watch_limit(number, by_now, progress_limit, done);
+            arm_timeout(number, by_now, progress_timeout, done);
             return;
         }
         m_connection.reset(); // A connection on which an answer is lost returns nothing further.
@@ -47,9 +47,9 @@
 void store_channel::finish(std::uint64_t number, exchange_result result,
                            std::function<void(exchange_result const&)> const& done)
 {
-    if (m_call != number) return;
-    ++m_call;
-    m_loop.cancel(m_limit);
+    if (m_call_number != number) return;
+    ++m_call_number;
+    m_loop.cancel(m_timeout_timer);
     // Deferred: the next call may replace the connection that is reporting.
     m_loop.run_at(m_loop.now(), [result = std::move(result), done] { done(result); });
 }
--- a/tests/test_busy_process.cpp
+++ b/tests/test_busy_process.cpp
@@ -24,7 +24,7 @@
             response.headers = {{"signature", "s"}};
             server->respond(request.key, std::move(response));
         };
-        hooks.on_gone = [](request_key) {};
+        hooks.on_disconnect = [](request_key) {};
         hooks.limits = [] { return caller_limits{}; };
         hooks.on_refused = [](int, char const*) {};
         server = std::make_unique<caller_server>(loop, std::move(hooks));
--- a/tests/test_store_channel.cpp
+++ b/tests/test_store_channel.cpp
@@ -10,12 +10,12 @@
 
 /** A peer that sends an answer of ten pieces, one each 200 ms, and stops after some of them. */
 struct slow_peer {
-    explicit slow_peer(int pieces_sent)
-        : listener(loop, {"127.0.0.1", 0}, [this, pieces_sent](int socket) {
+    explicit slow_peer(int chunks_sent)
+        : listener(loop, {"127.0.0.1", 0}, [this, chunks_sent](int socket) {
               stream_events events;
-              events.on_bytes = [this, pieces_sent](std::string_view) {
+              events.on_bytes = [this, chunks_sent](std::string_view) {
                   stream->send("HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\n");
-                  for (int i = 0; i < pieces_sent; ++i)
+                  for (int i = 0; i < chunks_sent; ++i)
                       loop.run_at(clock::now() + 200ms * i, [this] { stream->send("0123456789"); });
               };
               stream = std::make_unique<tcp_stream>(loop, socket, stream_options{}, std::move(events));
@@ -23,13 +23,13 @@
     {
     }
     /** @return the result of a call with a limit of 300 ms, and the time that it took. */
-    std::pair<exchange_result, clock::duration> ask()
+    std::pair<exchange_result, clock::duration> call()
     {
         std::pair<exchange_result, clock::duration> outcome;
-        auto const begun = clock::now();
+        auto const started_at = clock::now();
         store_channel channel(loop);
         channel.call({"127.0.0.1", listener.port()}, {}, 300ms, [&](exchange_result const& result) {
-            outcome = {result, clock::now() - begun};
+            outcome = {result, clock::now() - started_at};
             loop.stop();
         });
         loop.run();
@@ -46,8 +46,8 @@
 TEST_CASE("channel: an answer that goes on arriving is waited for beyond the limit")
 {
     slow_peer peer(10);
-    auto const [result, took] = peer.ask();
-    CHECK(result.answered);
+    auto const [result, took] = peer.call();
+    CHECK(result.completed);
     CHECK(result.response.body.size() == 100);
     CHECK(took > 1500ms);
 }
@@ -55,8 +55,8 @@
 TEST_CASE("channel: an answer that begins and stops is given up soon")
 {
     slow_peer peer(3);
-    auto const [result, took] = peer.ask();
-    CHECK_FALSE(result.answered);
+    auto const [result, took] = peer.call();
+    CHECK_FALSE(result.completed);
     CHECK(took > 700ms);
     CHECK(took < 2000ms);
 }
