--- a/include/cornelspring/gateway.hpp
+++ b/include/cornelspring/gateway.hpp
@@ -1,6 +1,6 @@
 /**
- * @file gateway.hpp The gateway process: connections of callers and to backend servers, the link to the platform's
- * store, membership of gateway VMs, and the service that ties them to the dispatcher.
+ * @file gateway.hpp The gateway process: connections from callers and to backend servers, this VM's registration in
+ * the platform's store, the selection of gateways for callers, and the process that connects these to the dispatcher.
  */
 #pragma once
 
@@ -11,78 +11,79 @@
 
 // ---- HTTP/1.1 client connections ----
 
-/** How an exchange on a client connection ended. */
+/** Outcome of an exchange on a client connection. */
 struct exchange_result {
-    bool completed = false;              ///< A whole, matching response came.
+    bool completed = false;              ///< A complete, matching response was received.
     bool sent = false;                   ///< The request may have reached the peer.
-    bool closed_before_response = false; ///< The peer closed the connection and sent no byte of a response.
-    http_response response;              ///< The response when answered.
-    char const* detail = "";             ///< Why not answered.
+    bool closed_before_response = false; ///< The peer closed the connection without sending any byte of a response.
+    http_response response;              ///< The response, if completed.
+    char const* detail = "";             ///< Why the exchange did not complete.
 };
 
 /** One HTTP/1.1 connection to a peer that carries one request at a time. */
 class client_connection {
 public:
-    /** Outcome of offering a response to its request. */
+    /** Whether a response belongs to the request of the exchange or, for example, to an earlier one. */
     enum class match { expected, unexpected };
-    /** One exchange. */
+    /** A request and the handling of its response. */
     struct exchange {
-        /** Writes the request, once it can leave: what it says of time is true then. Empty: it is too late for it. */
+        /** Serializes the request at the moment when it can be sent, so that the remaining time in it is correct.
+         *  Returns an empty string when the deadline has passed. */
         std::function<std::string(time_point now)> write_request;
         bool head_request = false;                          ///< The response has no body.
-        std::function<match(http_response const&)> matches; ///< Whether a response answers this request.
-        std::function<void(exchange_result)> done;          ///< Called once.
+        std::function<match(http_response const&)> matches; ///< Whether a response belongs to this request.
+        std::function<void(exchange_result)> done;          ///< Called once, with the outcome.
     };
     /**
      * Starts connecting.
      * @param loop event loop. @param peer address. @param options socket options. @param limits on responses.
      */
     client_connection(event_loop& loop, endpoint const& peer, stream_options options, message_limits limits);
-    /** Sets the hook for the end of connecting without an exchange. @param hook called once, with whether it succeeded.
-     */
+    /** Sets the hook for connecting without an exchange (pre-connect). @param hook called once, with whether the
+     *  connection was established. */
     void on_connected(std::function<void(bool)> hook) { m_on_connected = std::move(hook); }
-    /** Begins an exchange; only while idle. @param next the exchange. */
+    /** Starts an exchange; only while idle. @param next the exchange. */
     void start(exchange next);
     /** @return whether the connection is established. */
     bool established() const { return m_established; }
     /** @return bytes received so far. */
     std::uint64_t bytes_received() const { return m_bytes_received; }
-    /** @return whether it is open and can carry another request. */
+    /** @return whether the connection is open and can carry another request. */
     bool reusable() const;
-    /** Sets the hook for the end of an idle connection. @param hook called once. */
+    /** Sets the hook for the closing of an idle connection. @param hook called once. */
     void on_idle_closed(std::function<void()> hook) { m_on_idle_closed = std::move(hook); }
-    /** @return until when the peer keeps the connection when idle, by its own word; max when it did not say. */
+    /** @return when the peer closes the connection if it stays idle, from its Keep-Alive header; max without one. */
     time_point keep_alive_deadline() const { return m_keep_alive_deadline; }
-    /** @return the end of the last exchange. */
+    /** @return when the last exchange finished. */
     time_point idle_since() const { return m_idle_since; }
 
 private:
-    /** Sends the request of the exchange; the connection is established. */
+    /** Sends the request of the exchange; only on an established connection. */
     void send_request();
-    /** Takes in bytes of a response. */
+    /** Handles received bytes. */
     void on_bytes(std::string_view bytes);
-    /** Takes in the end of the connection. */
+    /** Handles the end of the connection. */
     void on_end(stream_end how);
-    /** Ends the exchange with the response read. @param rest bytes after it. */
+    /** Finishes the exchange with the response that was read. @param rest bytes received after it. */
     void handle_response(std::string_view rest);
     /** Reports the result of the exchange. */
     void finish_exchange(exchange_result result);
-    /** Notes how long the peer keeps the connection when idle. */
+    /** Reads the idle timeout from the Keep-Alive header of @p response. */
     void update_keep_alive_deadline(http_response const& response);
 
     event_loop& m_loop;                       ///< Event loop.
     message_reader m_reader;                  ///< Response reader.
-    std::optional<exchange> m_exchange;       ///< Present exchange.
-    std::function<void()> m_on_idle_closed;   ///< Hook of the idle connection.
-    std::function<void(bool)> m_on_connected; ///< Hook of a connection opened ahead.
-    bool m_established = false;               ///< Connected.
-    bool m_unusable = false;                  ///< Must not be used again.
-    bool m_used = false;                      ///< Carried an exchange before.
-    bool m_sent = false;                      ///< The request of the exchange was handed to the stream.
+    std::optional<exchange> m_exchange;       ///< Current exchange.
+    std::function<void()> m_on_idle_closed;   ///< Called when the connection closes while idle.
+    std::function<void(bool)> m_on_connected; ///< Called when a pre-connect finishes.
+    bool m_established = false;               ///< The connection is established.
+    bool m_unusable = false;                  ///< Must not carry another exchange.
+    bool m_used = false;                      ///< An exchange has finished on this connection.
+    bool m_sent = false;                      ///< The request of the current exchange was passed to the stream.
     std::uint64_t m_bytes_received = 0;       ///< Bytes received.
-    std::shared_ptr<bool> m_alive = std::make_shared<bool>(true); ///< Tells deferred work whether this still exists.
-    time_point m_keep_alive_deadline = time_point::max();         ///< Peer's idle limit.
-    time_point m_idle_since;                                      ///< End of the last exchange.
+    std::shared_ptr<bool> m_alive = std::make_shared<bool>(true); ///< Lets deferred tasks see that this is gone.
+    time_point m_keep_alive_deadline = time_point::max();         ///< See keep_alive_deadline().
+    time_point m_idle_since;                                      ///< When the last exchange finished.
     std::unique_ptr<tcp_stream> m_stream;                         ///< The connection.
 };
 
@@ -91,30 +92,30 @@
 /** Settings of the connections to backend servers. */
 struct pool_options {
     header_names names;                ///< Header names.
-    milliseconds connect_timeout{600}; ///< Longest connect: two round trips between regions and a slow accept.
-    milliseconds idle_timeout{15000};  ///< Kept connections idle this long are closed: see connection_share.
-    milliseconds max_idle_non_idempotent{
-        250}; ///< A kept connection idle longer may be dead: not for what must not repeat.
-    message_limits response_limits{32768, 8 << 20}; ///< Limits on responses.
+    milliseconds connect_timeout{600}; ///< Allows for two round trips between regions and a slow accept.
+    milliseconds idle_timeout{15000};  ///< Idle connections are closed after this; see connection_share.
+    /** A connection that was idle for longer may be dead, so requests that must not be repeated are not sent on it. */
+    milliseconds max_idle_non_idempotent{250};
+    message_limits response_limits{32768, 8 << 20}; ///< Limits on the size of responses.
 };
 
-/** Connections to backend servers: sends attempts and reports their results. */
+/** Connections to backend servers: sends attempts and reports their outcomes. */
 class backend_pool {
 public:
-    /** @param loop event loop. @param options settings. @param on_result receives every result that is not cancelled.
-     */
+    /** @param loop event loop. @param options settings. @param on_result receives the outcome of each attempt that is
+     *  not cancelled. */
     backend_pool(event_loop& loop, pool_options options, std::function<void(attempt_id, attempt_result)> on_result);
     ~backend_pool();
     /** Sends an attempt. @param order the attempt. */
     void send(outgoing_attempt order);
-    /** Gives an attempt up by closing its connection. @param id attempt. */
+    /** Cancels an attempt by closing its connection. @param id attempt. */
     void cancel(attempt_id id);
-    /** Opens a connection ahead, kept for a later attempt. @param server where to. */
+    /** Opens a connection before a request needs it. @param server backend server to connect to. */
     void preconnect(std::shared_ptr<backend_server> const& server);
-    /** @return whether a connection to @p server is kept or being opened ahead, or could not be opened shortly before.
-     *  @param server which. */
+    /** @return whether @p server needs no pre-connect: a connection is idle or being opened, or opening one failed
+     *  recently. @param server backend server. */
     bool skip_preconnect(std::shared_ptr<backend_server> const& server) const;
-    /** @return connections opened since the start. */
+    /** @return number of connections opened since the start of the process. */
     std::uint64_t connections_opened() const;
 
     /** Opaque state, defined in the source file. */
@@ -126,39 +127,41 @@
 
 // ---- Callers ----
 
-/** What a caller's connection delivers to the service. */
+/** A request received by the caller server. */
 struct caller_request {
-    request_key key;       ///< For respond().
+    request_key key;       ///< Identifies the request in respond().
     http_request message;  ///< The request.
-    bool internal = false; ///< Arrived on an address for the system's own calls, not for forwarding.
-    request_timing timing; ///< Its time before it was read and after it will be answered.
-    caller_address caller; ///< Who sent it.
+    bool internal = false; ///< Received on an internal address: handled by the gateway itself, not forwarded.
+    request_timing timing; ///< Time that it waited unread, and the round-trip time to the caller.
+    caller_address caller; ///< Address of the caller.
 };
 
-/** The server for callers: reads requests strictly, one at a time on each connection, and answers each once. */
+/** HTTP/1.1 server for callers: strict parsing, one request at a time on each connection, one response to each. */
 class caller_server {
 public:
-    /** Hooks of the service. */
+    /** Callbacks into the service. */
     struct hooks {
-        std::function<void(caller_request)> on_request; ///< A whole request; respond() follows, now or later.
-        std::function<void(request_key)> on_disconnect; ///< The caller left before its answer.
+        /** A complete request was received. The service calls respond() for it, during this callback or later. */
+        std::function<void(caller_request)> on_request;
+        std::function<void(request_key)> on_disconnect; ///< The caller disconnected before the response was sent.
         std::function<caller_limits()> limits;          ///< Limits in force.
-        /** A request was refused before routing. @param status answered. @param reason why. */
+        /** A request was rejected before routing. @param status status of the response, or 0. @param reason why. */
         std::function<void(int status, char const* reason)> on_refused;
     };
-    /** @param loop event loop. @param hooks service. */
+    /** @param loop event loop. @param hooks callbacks into the service. */
     caller_server(event_loop& loop, hooks hooks);
     ~caller_server();
-    /** Listens on @p address. @param address address. @param internal whether only the system's own calls come there.
-     *  @return the bound port. */
+    /** Listens on @p address. @param address address. @param internal whether only internal requests (readiness,
+     *  address queries, peer gateways, metrics) are received there. @return the bound port. */
     std::uint16_t listen(endpoint const& address, bool internal);
-    /** Answers a request; does nothing when its caller has left. @param key request. @param response answer. */
+    /** Sends the response to a request; does nothing if its caller has disconnected. @param key request.
+     *  @param response response. */
     void respond(request_key key, http_response response);
-    /** From now on each answer closes its connection. */
+    /** Makes each further response close its connection. */
     void close_after_responses();
     /** Stops accepting and closes idle connections. */
     void stop_listening();
-    /** @return open connections of callers for forwarding. */
+    /** @return number of open connections, without those to internal addresses. */
     std::size_t connections() const;
 
     /** Opaque state, defined in the source file. */
@@ -170,32 +173,36 @@
 
 // ---- Members ----
 
-/** @return a member as the value of its store key. @param member member. */
+/** @return @p member as the value of its item in the store. @param member member. */
 std::string encode_member(gateway_member const& member);
 /** @return the member in @p value. @param value store value. @throw error bad_request when malformed. */
 gateway_member decode_member(std::string const& value);
 
 /**
- * Chooses the gateways that callers are sent to. More gateways than backend servers have connections for would only
- * open and close connections; and a gateway that carries more requests learns sooner which backend server is slow.
- * The failure domains get equal numbers, the largest VMs first. Stopping ones count only when no other is left.
- * @param members live gateways. @param max_count most of them.
- * @return keys of the chosen ones.
+ * Chooses the active gateways: those whose addresses callers receive. Their number is limited, because more gateways
+ * than backend servers have connections for would keep opening and closing connections, and because a gateway with more
+ * requests detects slow backend servers sooner. Each failure domain gets the same number, its largest VMs first.
+ * Stopping gateways are chosen only if all are stopping. VMs that are much smaller than the others are left out if the
+ * others have enough capacity.
+ * @param members live gateways. @param max_count most gateways to choose; at least one per failure domain is chosen.
+ * @return store keys of the active gateways.
  */
 std::set<std::string> choose_active(member_map const& members, std::size_t max_count);
-/** What a caller asks before it connects. */
+
+/** Query of a caller for the addresses of gateways, which it sends before it connects. */
 struct address_query {
-    std::string host;   ///< Host that it wants to ask.
-    region_name region; ///< Its region.
-    domain_name domain; ///< Its failure domain.
+    std::string host;   ///< Host to which the caller's requests are addressed.
+    region_name region; ///< Region of the caller.
+    domain_name domain; ///< Failure domain of the caller.
 };
 
 /**
- * Chooses the addresses for one caller: active gateways of its failure domain, else of its region, else all. Where the
- * host has homes, a single gateway of the caller's region is enough, and those elsewhere are of home regions as long
- * as one lives there: what callers of such a host ask must not go through other regions.
- * @param members live gateways. @param active keys of the active ones. @param asked the question. @param homes regions
- * that may serve the host; empty: all. @param random order of the answer.
+ * Chooses the addresses for one caller: active gateways of its failure domain if there are at least two, else of its
+ * region, else all. If the host has home regions, one gateway in the caller's region is enough; without one, gateways
+ * in the home regions are chosen, and any others only if no gateway is live there: requests to such a host must not
+ * pass through other regions.
+ * @param members live gateways. @param active store keys of the active ones. @param asked query of the caller.
+ * @param homes home regions of the host; empty: any region. @param random source of the random order.
  * @return addresses, in random order.
  */
 std::vector<endpoint> choose_addresses(member_map const& members, std::set<std::string> const& active,
@@ -204,70 +211,70 @@
 /** Settings of a gateway process. */
 struct gateway_settings {
     std::string name;                         ///< Name of this VM.
-    std::optional<endpoint> caller_address;   ///< Where callers connect.
-    std::vector<endpoint> internal_addresses; ///< Addresses for readiness, address and state questions.
-    std::optional<endpoint> peer_address;     ///< Of these, the one other gateways use.
+    std::optional<endpoint> caller_address;   ///< Where callers connect; none: this VM serves no callers.
+    std::vector<endpoint> internal_addresses; ///< Addresses for readiness checks, address queries and peer gateways.
+    std::optional<endpoint> peer_address;     ///< The one of the internal addresses that peer gateways use.
     std::optional<endpoint> metrics_address;  ///< Where metrics are served.
-    std::vector<endpoint> seeds;              ///< Peer addresses of some gateways; may be stale.
-    locality location;                        ///< Where this VM is.
-    endpoint store;                           ///< The platform's store.
-    std::string ready_path;                   ///< Path of the readiness question.
-    std::string addresses_path;               ///< Path of the address question.
+    std::vector<endpoint> seeds;              ///< Peer addresses to start with; may be outdated.
+    locality location;                        ///< Failure domain and region of this VM.
+    endpoint store;                           ///< Address of the platform's store.
+    std::string ready_path;                   ///< Path of the readiness check.
+    std::string addresses_path;               ///< Path of address queries.
     std::string metrics_path = "/metrics";    ///< Path of the metrics.
     double capacity = 1;                      ///< Processor cores this VM may use.
-    double uplink_bytes_per_s = 0;            ///< What its link carries; 0: not known.
+    double uplink_bytes_per_s = 0;            ///< Rate of the VM's uplink; 0: unknown.
     milliseconds lease_ttl{6000};             ///< Time to live of this VM's registration.
-    milliseconds stop_timeout{5500};          ///< A stop ends after this, whatever is open.
-    int addresses_ttl_s = 4;                  ///< How long callers keep an address answer.
-    dispatcher_options dispatch;              ///< Decisions.
-    warmup_limits warmup;                     ///< Bound on requests to cold backend servers.
+    milliseconds stop_timeout{5500};          ///< A stop finishes after this time even if requests are in flight.
+    int addresses_ttl_s = 4;                  ///< How long callers may use the response to an address query.
+    dispatcher_options dispatch;              ///< Settings of the dispatcher.
+    warmup_limits warmup;                     ///< Limits on requests to cold backend servers.
     pool_options pool;                        ///< Connections to backend servers.
-    /** Writes the answer to an address question. */
+    /** Encodes the response to an address query. */
     std::function<std::string(std::vector<endpoint> const& addresses, int ttl_s)> encode_addresses;
-    /** Reads an address question from its target. */
+    /** Decodes an address query from the request target. */
     std::function<address_query(std::string const& target)> decode_address_query;
 };
 
 // ---- Registration ----
 
-/** Keeps one key of this VM in the store under a lease. */
+/** Maintains one item of this VM in the store under a lease, and writes it again whenever it is lost. */
 class registration {
 public:
-    /** @param loop event loop. @param store address. @param codec store calls. @param ttl time to live of the lease.
-     *  @param on_call reports calls: whether they succeeded. */
+    /** @param loop event loop. @param store address. @param codec encodes calls to the store. @param ttl time to live
+     *  of the lease. @param on_call receives for each call whether it succeeded. */
     registration(event_loop& loop, endpoint store, store_codec const& codec, milliseconds ttl,
                  std::function<void(bool ok)> on_call);
     ~registration();
-    /** Writes @p value at @p key, again whenever it is lost. @param key key. @param value value. */
+    /** Writes @p value at @p key, now and again whenever the item is lost. @param key key. @param value value. */
     void set(std::string key, std::string value);
-    /** Someone else removed the key: write it again under a new lease. */
+    /** Handles the removal of the item by others: writes it again under a new lease. */
     void on_removed();
-    /** The store came back from an older copy: what was written before is written again. @param era its era now. */
+    /** Handles the restoration of the store from an older copy: writes the item again. @param era its new era. */
     void on_store_era(store_era era);
-    /** Ends the lease, which removes the key. */
+    /** Revokes the lease, which removes the item, and stops renewing it. */
     void revoke();
 
     /** Opaque state, defined in the source file. */
     struct impl;
 
 private:
-    std::unique_ptr<impl> m_impl; ///< Connection and timers.
+    std::unique_ptr<impl> m_impl; ///< Connection and timer.
 };
 
 /** The gateway process. */
 class gateway {
 public:
-    /** @param settings settings. @param codec store translation. */
+    /** @param settings settings. @param codec translates between the store's calls and this process. */
     gateway(gateway_settings settings, store_codec codec);
     ~gateway();
-    /** Serves until a stop signal has been handled. */
+    /** Serves requests until a stop signal was received and the stop is complete. */
     void run();
 
     /** Opaque state, defined in the source file. */
     struct impl;
 
 private:
-    std::unique_ptr<impl> m_impl; ///< Everything.
+    std::unique_ptr<impl> m_impl; ///< State of the process.
 };
 
 } // namespace cornelspring
--- a/src/gateway/address_query.cpp
+++ b/src/gateway/address_query.cpp
@@ -1,4 +1,4 @@
-/** @file address_answers.cpp Which gateways callers are sent to; the members' store values. */
+/** @file address_query.cpp Selection of the gateways for callers, and the encoding of members in the store. */
 #include <cornelspring/gateway.hpp>
 
 #include <algorithm>
@@ -8,21 +8,23 @@
 namespace cornelspring {
 namespace {
 
-/** Most addresses in one answer. */
+/** Most addresses in one response. */
 constexpr std::size_t max_addresses = 64;
-/** Fewer addresses than this do not make up an answer: one of them may just have failed. */
+/** Fewest addresses in a response if more gateways exist: one of them may have failed just now. */
 constexpr std::size_t min_addresses = 2;
 
-/** A VM with less than this share of the processor of the largest one is small: at a hundred shards a query
- * takes it most of the time that urgent callers have. */
+/** A VM with less than this share of the largest VM's capacity is small: with a hundred shards, one query takes it most
+ *  of the time within which high-priority callers need the response. */
 constexpr double small_vm_share = 0.3;
-/** Small VMs are left out as long as the others have this share of the processors: the load is carried all the same. */
+/** Small VMs are left out if the others have at least this share of the total capacity, which is enough for the load.
+ */
 constexpr double sufficient_share = 0.75;
 
 /**
- * Fewer queries come late so, and each VM that gets queries sees more of them and learns sooner which backend servers
- * are slow.
- * @return the active members without the small ones, if the others are enough: in each failure domain as well.
+ * Removes small VMs from the active members. Fewer queries are late then, and each of the other VMs handles more
+ * queries and detects slow backend servers sooner.
+ * @return the active members without the small ones, or all if the others have too little capacity in total or are too
+ * few in a failure domain.
  */
 std::set<std::string> without_small_vms(member_map const& members, std::set<std::string> const& active)
 {
@@ -48,7 +50,7 @@
     return enough ? large : active;
 }
 
-/** @return addresses of the active members that @p wanted accepts. */
+/** @return the addresses of the active members for which @p wanted returns true. */
 std::vector<endpoint> active_members(member_map const& members, std::set<std::string> const& active,
                                      std::function<bool(gateway_member const&)> const& wanted)
 {
--- a/src/gateway/backend_pool.cpp
+++ b/src/gateway/backend_pool.cpp
@@ -1,4 +1,5 @@
-/** @file backend_pool.cpp Connections to backend servers, kept and reused; attempts and their results. */
+/** @file backend_pool.cpp Pool of keep-alive connections to backend servers; sends attempts and classifies their
+ *  outcomes. */
 #include <cornelspring/gateway.hpp>
 
 #include <algorithm>
@@ -6,41 +7,41 @@
 namespace cornelspring {
 namespace {
 
-/** How often idle connections are looked through. */
+/** How often idle and pending connections are checked for time-outs. */
 constexpr milliseconds sweep_interval{500};
-/** A kept connection whose peer closes it within this time is not used any more. */
+/** An idle connection that its peer will close within this time is not used again. */
 constexpr milliseconds idle_close_margin{150};
-/** A backend server that could not be connected to ahead is left alone so long. */
+/** Time without a new pre-connect to a backend server after a failed one. */
 constexpr milliseconds preconnect_retry_interval{3000};
 
 } // namespace
 
 /** State of the pool. */
 struct backend_pool::impl {
-    /** A connection under way with an attempt. */
+    /** An attempt in flight and its connection. */
     struct active_attempt {
         std::unique_ptr<client_connection> connection; ///< Connection.
         std::shared_ptr<backend_server> server;        ///< Backend server.
-        timer_id connect_timer;                        ///< Ends an attempt whose connect hangs.
+        timer_id connect_timer;                        ///< Cancels the attempt when connecting times out.
     };
     event_loop& loop;                                          ///< Event loop.
     pool_options options;                                      ///< Settings.
-    std::function<void(attempt_id, attempt_result)> on_result; ///< Receiver.
-    std::unordered_map<std::uint64_t, active_attempt> in_use;  ///< By attempt.
-    /** Kept connections; a backend server that starts again is another object and has none. */
+    std::function<void(attempt_id, attempt_result)> on_result; ///< Receives the outcomes of attempts.
+    std::unordered_map<std::uint64_t, active_attempt> in_use;  ///< Attempts in flight, by id.
+    /** Idle connections; a backend server that restarts is another object, without connections. */
     std::unordered_map<std::shared_ptr<backend_server>, std::vector<std::unique_ptr<client_connection>>> idle;
-    /** A connection that is being opened ahead. */
+    /** A pre-connect in progress. */
     struct pending_connection {
         std::unique_ptr<client_connection> connection; ///< Connection.
-        time_point connect_deadline;                   ///< It hangs then.
+        time_point connect_deadline;                   ///< The pre-connect times out then.
     };
     std::unordered_map<std::shared_ptr<backend_server>, pending_connection> preconnecting; ///< By backend server.
-    std::unordered_map<std::shared_ptr<backend_server>, time_point> unreachable; ///< Not prepared again until then.
-    std::uint64_t opened = 0;                                                    ///< Connections opened.
+    std::unordered_map<std::shared_ptr<backend_server>, time_point> unreachable; ///< No pre-connect until then.
+    std::uint64_t opened = 0;                                                    ///< Connections opened so far.
     timer_id sweep_timer;                                                        ///< Next sweep.
 
     std::unique_ptr<client_connection> take_idle(outgoing_attempt const& order);
-    /** @return the request with the time left at @p now, or nothing when none is left. */
+    /** @return the request with the time left at @p now in its deadline header; empty when none is left. */
     std::string write_request(outgoing_attempt const& order, time_point now) const;
     void send(outgoing_attempt order);
     void on_connect_timeout(attempt_id id);
@@ -59,7 +60,7 @@
     auto& available = found->second;
     auto const now = loop.now();
     while (!available.empty()) {
-        auto connection = std::move(available.back()); // The one used last is the least likely to be dead.
+        auto connection = std::move(available.back()); // The one used most recently is the least likely to be dead.
         available.pop_back();
         if (!connection->reusable() || connection->keep_alive_deadline() < now + idle_close_margin) continue;
         if (!order.idempotent && connection->idle_since() + options.max_idle_non_idempotent < now) continue;
@@ -70,8 +71,8 @@
 }
 
 /**
- * The backend server is told the time that is left when the request arrives, not when it is written: on a
- * full link these are far apart, and backend servers would work for callers that have gone.
+ * The deadline header has the time left when the request arrives at the backend server, not when it is serialized. On a
+ * full uplink these differ so much that backend servers would process requests whose callers no longer wait.
  */
 std::string backend_pool::impl::write_request(outgoing_attempt const& order, time_point now) const
 {
@@ -146,7 +147,7 @@
 {
     auto* raw = connection.get();
     connection->on_idle_closed([this, server, raw] {
-        // Removed later: this runs inside the connection's own callback.
+        // Deferred: this runs inside a callback of the connection that is to be destroyed.
         loop.run_at(loop.now(), [this, server, raw] {
             auto const found = idle.find(server);
             if (found == idle.end()) return;
@@ -163,7 +164,7 @@
     auto connection =
         std::make_unique<client_connection>(loop, server->entry.address, stream_options{}, options.response_limits);
     connection->on_connected([this, server](bool established) {
-        // Later: this runs inside the connection's own callback.
+        // Deferred: this runs inside a callback of the connection, which may be destroyed.
         loop.run_at(loop.now(), [this, server, established] { on_preconnected(server, established); });
     });
     preconnecting[server] = {std::move(connection), loop.now() + options.connect_timeout};
--- a/src/gateway/caller_server.cpp
+++ b/src/gateway/caller_server.cpp
@@ -1,4 +1,4 @@
-/** @file caller_server.cpp Connections of callers: strict reading, time limits, one answer for each request. */
+/** @file caller_server.cpp HTTP/1.1 server for callers: strict parsing, time-outs, one response to each request. */
 #include <cornelspring/gateway.hpp>
 
 #include <algorithm>
@@ -6,11 +6,12 @@
 namespace cornelspring {
 namespace {
 
-/** Bytes of following requests held while one is served; a caller that pipelines more is cut off. */
+/** Most bytes of pipelined requests held while a request is in flight; the connection is closed beyond that. */
 constexpr std::size_t max_pipelined_bytes = 256 * 1024;
-/** How long a refused caller may go on sending, so that a reset does not destroy the refusal on its way. */
+/** How long a connection stays open after its last response. An earlier close could send a reset, which can destroy the
+ *  response before the caller has read it. */
 constexpr milliseconds linger_timeout{1000};
-/** Start line and headers of a question to the system itself. */
+/** Allowed size of the start line and headers of internal requests, if the limit for callers is lower. */
 constexpr std::size_t internal_header_bytes = 8192;
 
 } // namespace
@@ -19,26 +20,26 @@
 struct caller_server::impl {
     /** One connection. */
     struct connection {
-        std::unique_ptr<tcp_stream> stream;     ///< TCP connection.
+        std::unique_ptr<tcp_stream> stream;     ///< TCP stream.
         std::unique_ptr<message_reader> reader; ///< Request reader.
-        std::string pipelined;                  ///< Bytes after the request being served.
-        std::optional<request_key> serving;     ///< Request being served.
-        bool internal = false;                  ///< For questions to the system itself.
-        bool head = false;                      ///< The request served is HEAD.
-        bool close_after = false;               ///< Close when the answer has left.
-        bool refused = false;                   ///< Only read until the caller has seen the refusal.
+        std::string pipelined;                  ///< Bytes received after the request in flight.
+        std::optional<request_key> serving;     ///< Request in flight.
+        bool internal = false;                  ///< Accepted on an internal address.
+        bool head = false;                      ///< The request in flight is a HEAD request.
+        bool close_after = false;               ///< Close once the response is sent.
+        bool refused = false;                   ///< Closing: received bytes are discarded.
         bool sent_continue = false;             ///< 100 Continue was sent.
-        timer_id timer;                         ///< Idle, header or linger limit.
+        timer_id timer;                         ///< Idle, header or linger time-out.
     };
     event_loop& loop;                                                    ///< Event loop.
-    hooks service;                                                       ///< Service.
+    hooks service;                                                       ///< Callbacks into the service.
     std::vector<std::unique_ptr<tcp_listener>> listeners;                ///< Listening sockets.
-    std::unordered_map<std::uint64_t, std::unique_ptr<connection>> open; ///< By connection number.
-    std::unordered_map<std::uint64_t, std::uint64_t> serving;            ///< Connection by request key.
-    std::uint64_t last_connection = 0;                                   ///< Last connection number.
-    std::uint64_t last_key = 0;                                          ///< Last request key.
-    bool closing = false;                                                ///< Answers close their connections.
-    std::size_t caller_connections = 0;                                  ///< Connections that are not internal.
+    std::unordered_map<std::uint64_t, std::unique_ptr<connection>> open; ///< Open connections, by number.
+    std::unordered_map<std::uint64_t, std::uint64_t> serving;            ///< Connection number, by request key.
+    std::uint64_t last_connection = 0;                                   ///< Last connection number used.
+    std::uint64_t last_key = 0;                                          ///< Last request key used.
+    bool closing = false;                                                ///< Each response closes its connection.
+    std::size_t caller_connections = 0;                                  ///< Open connections that are not internal.
 
     void accept(int socket, bool internal);
     void on_bytes(std::uint64_t number, std::string_view bytes);
@@ -55,14 +56,14 @@
 
 namespace {
 
-/** @return how many headers are named @p name. */
+/** @return the number of headers named @p name. */
 std::size_t count_headers(http_request const& request, std::string_view name)
 {
     return static_cast<std::size_t>(std::count_if(request.headers.begin(), request.headers.end(),
                                                   [name](http_header const& each) { return each.name == name; }));
 }
 
-/** @return the refusal for a message that cannot be read. */
+/** @return status and text of the response to a message that cannot be parsed. */
 std::pair<int, char const*> refusal_of(parse_state state)
 {
     switch (state) {
@@ -224,7 +225,7 @@
     to.stream->send(serialize(response, to.close_after, to.head));
     if (to.close_after) {
         if (to.stream->unsent() == 0) {
-            // Not at once: the answer may be given while the connection's own callback runs.
+            // Deferred: respond() may be called within a callback of the connection.
             loop.run_at(loop.now(), [this, number] { remove(number); });
         } else {
             set_timer(number, to, linger_timeout);
--- a/src/gateway/client_connection.cpp
+++ b/src/gateway/client_connection.cpp
@@ -1,4 +1,4 @@
-/** @file client_connection.cpp One HTTP/1.1 exchange at a time on a connection to a peer. */
+/** @file client_connection.cpp Client side of an HTTP/1.1 connection, with one exchange at a time. */
 #include <cornelspring/gateway.hpp>
 
 #include <charconv>
@@ -6,7 +6,7 @@
 namespace cornelspring {
 namespace {
 
-/** Taken off the peer's announced idle time, so that no request crosses its close. */
+/** Subtracted from the idle timeout that the peer announces, so that no request is sent while the peer closes. */
 constexpr milliseconds keep_alive_margin{400};
 
 } // namespace
@@ -44,7 +44,7 @@
         m_stream->send(bytes);
         return;
     }
-    // Later: the owner may be in the middle of starting this exchange.
+    // Deferred: the owner may not have returned from start() yet.
     m_loop.run_at(m_loop.now(), [this, alive = std::weak_ptr<bool>(m_alive)] {
         if (!alive.expired() && m_exchange) finish_exchange({false, false, false, {}, "no time was left to send it"});
     });
@@ -56,7 +56,7 @@
 {
     m_bytes_received += bytes.size();
     while (!bytes.empty()) {
-        if (!m_exchange) { // Bytes that no request waits for belong to nobody.
+        if (!m_exchange) { // Bytes without a request: the connection is out of step.
             m_unusable = true;
             if (m_on_idle_closed) m_on_idle_closed();
             return;
@@ -73,7 +73,8 @@
             handle_response(bytes);
             return;
         }
-        // A late answer to an earlier request: the awaited one may still follow, but the connection is suspect.
+        // A late response to an earlier request. The expected one may still follow, but the connection is not used
+        // again.
         m_unusable = true;
         m_reader.restart();
         if (m_exchange->head_request) m_reader.expect_no_body();
@@ -82,7 +83,7 @@
 
 void client_connection::handle_response(std::string_view rest)
 {
-    // Bytes after the answer, or an answer before the whole request has left, make the connection unusable.
+    // Bytes after the response, or a response before the complete request was sent, make the connection unusable.
     if (!rest.empty() || !m_reader.keep_alive() || m_stream->unsent() > 0) m_unusable = true;
     exchange_result result{true, true, false, std::move(m_reader.response()), ""};
     update_keep_alive_deadline(result.response);
--- a/src/gateway/feed_calls.cpp
+++ b/src/gateway/feed_calls.cpp
@@ -1,4 +1,4 @@
-/** @file feed_calls.cpp The calls of a state feed over connections to the store and to other gateways. */
+/** @file feed_calls.cpp The calls of a state feed to the store and to peer gateways. */
 #include "feed_calls.hpp"
 
 namespace cornelspring {
@@ -41,7 +41,7 @@
     try {
         return {200, "", codec(call.source).parse_batch(result.response)};
     } catch (std::exception const&) {
-        return {0, "malformed answer", {}}; // Logged by the feed as the reason why the source failed.
+        return {0, "malformed answer", {}}; // The feed logs this as the reason for the failure of the source.
     }
 }
 
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -1,4 +1,4 @@
-/** @file gateway.cpp The gateway process: wires callers, dispatcher and backend pool together; stopping. */
+/** @file gateway.cpp The gateway process: connects caller server, dispatcher and backend pool, and stops them. */
 #include "gateway_impl.hpp"
 
 #include <csignal>
@@ -7,12 +7,13 @@
 namespace {
 
 /**
- * A stopping gateway stops accepting this long before its time is up, and lets the requests it has finish. Until then
- * it serves on: a VM that is restarted comes back only after the whole stop time, however early it ends, and when many
- * are restarted in turn the others may be away. Ending early left no gateway at all for seconds.
+ * A stopping gateway closes its listeners this long before its stop timeout and lets the requests in flight finish.
+ * Until then it serves new requests: a restarted VM is available again only after the complete stop time, even if the
+ * process exits early, and during a rolling restart the other gateways may be down at the same time. With an early exit
+ * no gateway at all was available for seconds.
  */
 constexpr milliseconds drain_time{1200};
-/** How often a stopping gateway looks whether its work is done. */
+/** How often a stopping gateway checks whether all requests have finished. */
 constexpr milliseconds stop_poll_interval{50};
 
 } // namespace
@@ -55,7 +56,6 @@
     if (settings.metrics_address) callers->listen(*settings.metrics_address, true);
 }
 
-/** Arms the timer for the dispatcher's next due time. */
 void gateway::impl::wake_dispatcher()
 {
     auto const next = requests->next_due();
@@ -121,7 +121,7 @@
     auto const asked = settings.decode_address_query(target);
     auto const homes = configs.current() ? configs.current()->homes_of_host(asked.host) : region_set{};
     auto chosen = choose_addresses(members, active, asked, homes, random);
-    // Before a gateway hears of any registration, its own included, it knows one that serves: itself.
+    // A gateway that has not received any registration yet, not even its own, still knows that it can serve itself.
     if (chosen.empty() && ready() && settings.caller_address) chosen.push_back(*settings.caller_address);
     if (chosen.empty()) {
         http_response response;
@@ -131,12 +131,12 @@
     return json_response(200, settings.encode_addresses(chosen, settings.addresses_ttl_s));
 }
 
-// ---- Stopping ----
+// ---- Stop ----
 
 void gateway::impl::on_signal(int number)
 {
     if (number == SIGHUP) {
-        log.process("reload"); // Addresses and limits of a VM are fixed while it runs; nothing is taken over.
+        log.process("reload"); // Nothing is reloaded: the addresses and limits of a VM are fixed while it runs.
         return;
     }
     if (stopping) return;
--- a/src/gateway/gateway_connections.cpp
+++ b/src/gateway/gateway_connections.cpp
@@ -1,15 +1,16 @@
-/** @file gateway_connections.cpp Connections to backend servers that are opened before a request needs them. */
+/** @file gateway_connections.cpp Pre-connect: connections to backend servers that are opened before a request needs
+ *  them. */
 #include "gateway_impl.hpp"
 
 namespace cornelspring {
 namespace {
 
-/** How often it is looked where connections are missing. */
+/** How often to look for backend servers without a connection. */
 constexpr milliseconds plan_interval{1000};
-/** Connections are opened in pieces: a backend server's handshake takes one of its slots for some milliseconds, and a
- *  small VM has other work to do. */
+/** Time between batches. Connections are opened in small batches, because each handshake occupies one of the backend
+ *  server's slots for some milliseconds and because a small VM needs its processor for requests. */
 constexpr milliseconds batch_interval{20};
-/** Connections in one piece. */
+/** Connections opened in one batch. */
 constexpr std::size_t batch_size = 2;
 
 } // namespace
@@ -17,7 +18,7 @@
 void gateway::impl::plan_preconnects()
 {
     loop.run_at(loop.now() + plan_interval, [this] { plan_preconnects(); });
-    // Only VMs that callers are sent to: the others would take connections that these need.
+    // Only active gateways pre-connect: others would use up connections that the active ones need.
     if (stopping || !configs.current() || !active.contains(member_key())) return;
     auto const connected = [this](std::shared_ptr<backend_server> const& server) {
         return pool->skip_preconnect(server);
--- a/src/gateway/gateway_impl.hpp
+++ b/src/gateway/gateway_impl.hpp
@@ -7,55 +7,57 @@
 
 namespace cornelspring {
 
-/** Store prefix of the gateways' registrations. */
+/** Prefix of the store keys of the gateways' registrations. */
 inline constexpr char const* member_prefix = "gateways/";
-/** Store prefix of what gateways tell each other of requests that crash backend servers. */
+/** Prefix of the store keys under which gateways share records of requests that crash backend servers. */
 inline constexpr char const* crash_records_prefix = "crash-records/";
-/** Such a record stays so long in the store after its gateway has gone: as long as the longest quarantine. */
+/** Time to live of these records after their gateway has stopped: as long as the longest quarantine. */
 inline constexpr milliseconds crash_records_ttl{600000};
-/** What lapsed during a store outage, or was lost with it, has this long to come back after its return. */
+/** After an outage or a restoration of the store, registrations that lapsed or were lost with it have this long to be
+ *  written again before they count as removed. */
 inline constexpr milliseconds lapse_grace{2200};
-/** Gateways assumed to share the budgets before the others are known. */
+/** Fewest gateways among which budgets are divided, also while fewer members are known. */
 inline constexpr std::size_t min_vms = 3;
 
 /** State of the gateway. */
 struct gateway::impl {
     gateway_settings settings;            ///< Settings.
-    store_codec codec;                    ///< Store translation.
+    store_codec codec;                    ///< Translates calls to the store and its items.
     event_loop loop;                      ///< The I/O thread.
-    config_holder configs;                ///< Configuration in force.
+    config_holder configs;                ///< Current configuration.
     backend_registry registry;            ///< Backend servers.
-    place_rules places;                   ///< Which of them a request may reach.
+    place_rules places;                   ///< Placement rules.
     request_quarantine quarantine;        ///< Requests that crash backend servers.
-    member_map members;                   ///< Gateways.
-    std::set<std::string> active;         ///< Gateways that callers are sent to.
-    state_mirror mirror;                  ///< Copy of the store.
-    int store_responses = 0;              ///< Answers of the store in a row since the last full read.
-    std::vector<state_change> changes;    ///< What the answer that is being taken in changed.
+    member_map members;                   ///< Gateways registered in the store.
+    std::set<std::string> active;         ///< Store keys of the gateways whose addresses callers receive.
+    state_mirror mirror;                  ///< Local copy of the store.
+    int store_responses = 0;              ///< Consecutive responses of the store since the last full read.
+    std::vector<state_change> changes;    ///< Changes that were applied and not yet logged.
     bool store_up = false;                ///< The last call to the store succeeded.
-    deferred_removals missing;            ///< What the store lost when it came back from an older copy.
-    std::uint64_t superseded = 0;         ///< Changes left out so far.
-    time_point store_lost_at;             ///< When its calls began to fail.
-    state_publisher followers;            ///< Answers the gateways that follow this one.
-    gateway_metrics metrics;              ///< Counters.
+    deferred_removals missing;            ///< Items that the store lost when it was restored from an older copy.
+    std::uint64_t superseded = 0;         ///< Changes ignored so far because newer ones of their keys were known.
+    time_point store_lost_at;             ///< When calls to the store started to fail.
+    state_publisher followers;            ///< Responds to the gateways that follow this one.
+    gateway_metrics metrics;              ///< Metrics.
     gateway_log log;                      ///< Decision log.
-    std::unique_ptr<dispatcher> requests; ///< Decisions on requests.
+    std::unique_ptr<dispatcher> requests; ///< Dispatcher of requests.
     std::unique_ptr<backend_pool> pool;   ///< Connections to backend servers.
-    std::vector<std::shared_ptr<backend_server>> preconnect_queue; ///< To be opened, the most useful first.
-    std::unique_ptr<caller_server> callers;                        ///< Connections of callers.
-    store_codec peer_codec;                                        ///< Calls to other gateways.
-    feed_calls source_calls;                                       ///< Calls of the feed.
-    std::unique_ptr<state_feed> feed;                              ///< Keeps the copy of the store current.
-    std::unique_ptr<registration> member_registration;             ///< This VM's key in the store.
-    std::unique_ptr<registration> crash_registration;              ///< Its key for requests that crash backend servers.
-    bool crash_records_pending = false;                            ///< It is about to be written.
-    bool has_own_crash_records = false;                            ///< This process has seen something to tell.
-    std::mt19937_64 random{std::random_device{}()};                ///< Order of address answers.
-    timer_id dispatch_timer;                                       ///< Wakes the dispatcher.
-    time_point dispatch_due = time_point::max();                   ///< When it does.
-    bool stopping = false;                                         ///< A stop signal came.
-    time_point stop_started_at;                                    ///< When.
-    bool stopped_accepting = false;                                ///< Listeners are closed.
+    std::vector<std::shared_ptr<backend_server>>
+        preconnect_queue;                              ///< Backend servers to pre-connect to, nearest first.
+    std::unique_ptr<caller_server> callers;            ///< Server for callers.
+    store_codec peer_codec;                            ///< Translates calls to peer gateways.
+    feed_calls source_calls;                           ///< Makes the calls of the feed.
+    std::unique_ptr<state_feed> feed;                  ///< Keeps the local copy current.
+    std::unique_ptr<registration> member_registration; ///< This VM's registration.
+    std::unique_ptr<registration> crash_registration;  ///< This VM's records of requests that crash servers.
+    bool crash_records_pending = false;                ///< A write of these records is scheduled.
+    bool has_own_crash_records = false;                ///< This process has recorded crashes itself.
+    std::mt19937_64 random{std::random_device{}()};    ///< Random order of addresses.
+    timer_id dispatch_timer;                           ///< Wakes the dispatcher.
+    time_point dispatch_due = time_point::max();       ///< When dispatch_timer expires.
+    bool stopping = false;                             ///< A stop signal was received.
+    time_point stop_started_at;                        ///< When it was received.
+    bool stopped_accepting = false;                    ///< Listeners are closed.
 
     impl(gateway_settings s, store_codec c)
         : settings(std::move(s)), codec(std::move(c)), registry(settings.location, lapse_grace),
@@ -70,85 +72,87 @@
         plan_preconnects();
     }
 
-    /** Makes the dispatcher and the backend pool. */
+    /** Creates the dispatcher and the backend pool. */
     void make_dispatcher();
-    /** Listens on all addresses. */
+    /** Creates the server for callers and listens on all addresses. */
     void make_caller_server();
-    /** Makes the feed of the store and the registration. */
+    /** Creates the feed of the store and the registrations. */
     void make_feed();
-    /** Arms the timer for the next due time of the dispatcher. */
+    /** Arms the timer for the dispatcher's next due time. */
     void wake_dispatcher();
-    /** @return whether callers may be sent here. */
+    /** @return whether callers may be directed to this gateway. */
     bool ready() const { return !stopping && feed->synced() && configs.current() != nullptr; }
     /** @return the store key of this VM's registration. */
     std::string member_key() const { return member_prefix + settings.name; }
-    /** @return what this VM registers. */
+    /** @return the value of this VM's registration. */
     gateway_member own_member() const;
 
-    /** Looks to which backend servers connections are missing. */
+    /** Finds backend servers without a connection and starts to connect to them; repeats periodically. */
     void plan_preconnects();
-    /** Opens some of these, and the others later. */
+    /** Opens connections to the next batch of these, and schedules the batch after it. */
     void open_preconnects();
 
-    /** Takes in a request. */
+    /** Handles a request. */
     void on_request(caller_request request);
-    /** Answers one of the system's own questions. */
+    /** Handles an internal request: readiness, address query, peer gateway, metrics. */
     void on_internal_request(request_key key, http_request const& request);
-    /** @return the answer to an address question. */
+    /** @return the response to an address query. @param target request target. */
     http_response address_response(std::string const& target);
 
-    /** @return how the gateways that follow this one are answered. */
+    /** @return the hooks through which followers receive responses. */
     state_publisher::hooks follower_hooks();
-    /** Takes in what another gateway asks of the copy of the store. */
+    /** Handles a request of a peer gateway that reads from the local copy. */
     void on_follower_request(request_key key, http_request const& request);
 
-    /** Notes whether a call to the store succeeded. */
+    /** Records whether a call to the store succeeded. */
     void on_store_call(bool ok);
-    /** The store is back after an outage. */
+    /** Handles the end of a store outage. */
     void on_store_back();
-    /** @return what to take in of the first read of an era, @p differences to what was known before. */
+    /** Handles the first full read after the store was restored from an older copy. @param differences from the local
+     *  copy. @param known position of the local copy before. @param as_of position of the read. @return the differences
+     *  to apply at once: removals are held back for lapse_grace. */
     std::vector<store_item> on_store_restored(std::vector<store_item> differences, store_position known,
                                               store_position as_of);
-    /** Takes in that what was missing after a return of the store to an older copy was not written again. */
+    /** Applies the removals held back by on_store_restored() of items that were not written again. */
     void apply_missing_removals();
-    /** Takes in everything there is in the store. */
+    /** Handles a full read of the store. */
     void on_snapshot(std::vector<store_item> const& items, store_position as_of);
-    /** Takes in changes of the store. */
+    /** Handles changes of the store. */
     void on_changes(std::vector<store_item> const& items, store_position as_of);
-    /** Takes over what follows from changes of the copy. */
+    /** Applies changes of the local copy to the gateway's state. */
     void apply_changes(std::vector<store_item> const& changes, store_position as_of);
-    /** Takes over what follows from the set of gateways. */
+    /** Updates everything that depends on the set of gateways. */
     void refresh_members();
-    /** Takes in one item, or its removal. */
+    /** Applies one item or its removal. */
     void on_item(store_item const& item);
-    /** Takes in a configuration. */
+    /** Applies a configuration. */
     void on_config(store_item const& item);
-    /** Takes in the entry of a backend server. */
+    /** Applies the registration of a backend server. */
     void on_backend(store_item const& item);
-    /** Takes in the evacuation of a failure domain, or that it was taken back. */
+    /** Applies the start or the end of the evacuation of a failure domain. */
     void on_evacuation(store_item const& item);
-    /** @return the backend server of an entry. */
+    /** @return the id of the backend server that @p item registers. */
     backend_id backend_of(store_item const& item) const;
-    /** Takes in that a backend server has no entry any more. */
+    /** Applies the removal of a backend server's registration. */
     void remove_backend(backend_id const& id, store_position position);
-    /** Takes in the registration of a gateway. */
+    /** Applies the registration of a gateway. */
     void on_member(store_item const& item);
-    /** @return the store key of what this VM tells of requests that crash backend servers. */
+    /** @return the store key of this VM's records of requests that crash backend servers. */
     std::string crash_records_key() const { return crash_records_prefix + settings.name; }
-    /** What is believed of a request has changed. */
+    /** Handles a change of the quarantine. */
     void on_quarantine(request_quarantine::change const& change);
-    /** Takes in what a gateway tells of requests that crash backend servers. */
+    /** Applies a gateway's records of requests that crash backend servers. */
     void on_crash_records(store_item const& item);
-    /** Notes a change, for the log. */
+    /** Records a change for log_changes(). */
     void record_change(std::string name, change_kind kind, store_position position);
-    /** Logs what was noted since the last time. */
+    /** Logs the changes recorded since the last call. */
     void log_changes(store_position as_of);
-    /** Drops entries that did not return after a store outage. */
+    /** Removes lapsed backend servers that were not registered again after a store outage. */
     void expire_lapsed();
 
     /** Handles a signal. */
     void on_signal(int number);
-    /** Goes on with a planned stop. */
+    /** Performs the next step of a stop. */
     void stop_step();
 };
 
--- a/src/gateway/gateway_log.cpp
+++ b/src/gateway/gateway_log.cpp
@@ -6,19 +6,19 @@
 namespace cornelspring {
 namespace {
 
-/** Lines about requests written in one second; beyond it they are counted and left out. */
+/** Most lines about requests in one second; further ones are only counted. */
 constexpr int request_lines_per_s = 100;
-/** The same for lines about the source of the store's state. */
+/** Most lines about the source of the local copy in one second. */
 constexpr int source_lines_per_s = 20;
-/** The same for lines about what was learned: an answer of a source each 0.25 s. */
+/** Most lines about changes of the local copy in one second; a source sends a response every 0.25 s. */
 constexpr int learned_lines_per_s = 5;
-/** The same for lines about requests that crash backend servers. */
+/** Most lines about requests that crash backend servers in one second. */
 constexpr int quarantine_lines_per_s = 20;
 
-/** Keys of unreadable items that are remembered, so that each is written once. */
+/** Most keys of undecodable items that are remembered in order to log each reason once. */
 constexpr std::size_t max_bad_items = 1000;
 
-/** Appends @p text to @p line as a JSON string; what comes from callers is escaped by the JSON library. */
+/** Appends @p text to @p line as a JSON string; the JSON library escapes it if it contains special characters. */
 void append_quoted(std::string& line, std::string const& text)
 {
     bool const plain = std::all_of(text.begin(), text.end(),
@@ -30,19 +30,20 @@
     }
 }
 
-/** Appends a field with a number. */
+/** Appends a numeric field to @p line. */
 void append_number(std::string& line, char const* name, std::int64_t value)
 {
     line.append(",\"").append(name).append("\":").append(std::to_string(value));
 }
 
-/** @return whether the inputs of a request's decisions are logged: those of one that went well are left out. */
+/** @return whether the inputs of the decisions on a request are logged: only if it failed, is incomplete or had
+ *  retries. */
 bool needs_details(request_summary const& summary)
 {
     return summary.status != 200 || summary.shards_answered < summary.shards || summary.retries > 0;
 }
 
-/** Appends what decided about a request: admission, second attempts and those denied. */
+/** Appends the inputs of the decisions on a request: admission, placement rules, extra attempts and denied hedges. */
 void append_details(std::string& line, request_summary const& summary)
 {
     if (summary.admission_wait_ms > 0 || summary.admitted_share < 1) {
@@ -62,7 +63,7 @@
     line.append(",\"denied\":\"").append(summary.hedge_denied_reason).append("\"");
 }
 
-/** @return the name of @p kind in a log line. */
+/** @return the text of @p kind in log lines. */
 char const* to_string(change_kind kind)
 {
     switch (kind) {
@@ -76,14 +77,14 @@
     return "unknown";
 }
 
-/** Adds where a change stands in the store's history. */
+/** Adds a position in the store's history to @p line. */
 void add_position(nlohmann::json& line, store_position position)
 {
     line["era"] = position.era.value();
     line["revision"] = position.revision;
 }
 
-/** @return the line that names one change. */
+/** @return the line for one change. */
 nlohmann::json format_change(state_change const& change)
 {
     auto const* kind = to_string(change.kind);
@@ -113,8 +114,8 @@
 void gateway_log::on_request(request_summary const& summary, milliseconds state_age)
 {
     if (!allowed(m_requests, request_lines_per_s)) return;
-    // The only frequent line, so it is put together by hand: a JSON object costs several times as much, a
-    // noticeable part of the processor time of a request.
+    // This is the only frequent line. It is built by hand, because a JSON object costs several times as much, which is
+    // a noticeable part of the processor time of a request.
     std::string line = "{\"event\":\"request\",\"id\":";
     append_quoted(line, summary.request_id);
     line += ",\"route\":";
--- a/src/gateway/gateway_log.hpp
+++ b/src/gateway/gateway_log.hpp
@@ -5,88 +5,92 @@
 
 namespace cornelspring {
 
-/** What becomes of a backend server or a gateway in the store. */
+/** Kinds of changes of backend servers and gateways in the store. */
 enum class change_kind {
-    ready,    ///< A backend server that is new, or back.
-    draining, ///< One that leaves.
-    lapsed,   ///< One without an entry since an outage of the store.
-    removed,  ///< One that was removed.
-    joined,   ///< A gateway that joined.
-    left,     ///< A gateway that left.
+    ready,    ///< A backend server was registered, or registered again.
+    draining, ///< A backend server is draining.
+    lapsed,   ///< A backend server's registration disappeared in an outage of the store.
+    removed,  ///< A backend server was removed.
+    joined,   ///< A gateway joined.
+    left,     ///< A gateway left.
 };
 
-/** A change of what this VM believes, learned from a source. */
+/** A change of a backend server or gateway in the local copy. */
 struct state_change {
     std::string name;                      ///< Id of the backend server, or store key of the gateway.
-    change_kind kind = change_kind::ready; ///< What became of it.
-    store_position position;               ///< Where the change stands in the store's history.
+    change_kind kind = change_kind::ready; ///< What changed.
+    store_position position;               ///< Position of the change in the store's history.
 };
 
-/** Writes the gateway's log lines. Good requests are sampled under load, so that the volume stays bounded. */
+/** Writes the gateway's log lines. Most kinds of lines have a rate limit, so that the volume stays bounded under load.
+ */
 class gateway_log {
 public:
-    /** @param loop source of the time. */
+    /** @param loop event loop, for the current time. */
     explicit gateway_log(event_loop& loop) : m_loop(loop), m_logger(get_logger("gateway")) {}
-    /** A request ended. @param summary what became of it. @param state_age time since the configuration and the
-     *  backend servers known were last confirmed to be current. */
+    /** Logs a finished request. @param summary its outcome. @param state_age time since the local copy of the store
+     *  was last confirmed. */
     void on_request(request_summary const& summary, milliseconds state_age);
-    /** A request was refused while it was read. @param status status answered. @param reason why. */
+    /** Logs a request that was rejected while it was read. @param status status of the response. @param reason why. */
     void on_refused(int status, char const* reason);
-    /** A dependency was lost or regained. @param name which. @param change lost or regained. @param outage length. */
+    /** Logs that a dependency was lost or regained. @param name name of the dependency. @param change "lost" or
+     *  "regained". @param outage length of the outage. */
     void dependency(char const* name, char const* change, milliseconds outage);
-    /** The source of the store's state changed or failed. @param source which. @param change used or failed.
-     *  @param reason why. @param state_age how long ago the copy of that state was current for certain. */
+    /** Logs that another source is used, or that a source failed. @param source the source. @param change "used" or
+     *  "failed". @param reason why it failed. @param state_age time since the local copy was last confirmed. */
     void source(feed_source const& source, char const* change, char const* reason, milliseconds state_age);
-    /** A store item cannot be read; the same reason is written once for each key. @param key its key. @param position
-     * where the item stands in the store's history. @param reason why. */
+    /** Logs an item that cannot be decoded; the same reason is written once for each key. @param key its key.
+     *  @param position its position in the store's history. @param reason why. */
     void bad_item(std::string const& key, store_position position, char const* reason);
-    /** The store came back from an older copy. @param position of what it holds now. @param known position of the copy
-     *  until now. @param held removals held back until their writers had time to write again. */
+    /** Logs that the store was restored from an older copy. @param position new position of the store. @param known
+     *  position of the local copy before. @param held number of removals held back, to give the writers of the items
+     *  time to write them again. */
     void store_restored(store_position position, store_position known, std::size_t held);
-    /** Changes were left out, since newer ones of their keys are known. @param count how many. @param position of the
-     *  answer. @param known position of the copy. */
+    /** Logs changes that were ignored because newer ones of their keys are known. @param count number of changes.
+     *  @param position position of the response that contained them. @param known position of the local copy. */
     void superseded(std::uint64_t count, store_position position, store_position known);
-    /** A configuration arrived. @param version its version. @param position where it stands in the store's history.
-     *  @param applied in force. */
+    /** Logs a received configuration. @param version its version. @param position its position in the store's history.
+     *  @param applied whether it was newer than the one in use and was applied. */
     void config(config_version version, store_position position, bool applied);
-    /** The evacuation of a failure domain began or ended. @param domain which. @param in_force whether it began.
-     *  @param position where that stands in the store's history. @param state_age age of the copy. */
+    /** Logs the start or the end of the evacuation of a failure domain. @param domain the failure domain.
+     *  @param in_force whether it started. @param position position of the change in the store's history.
+     *  @param state_age time since the local copy was last confirmed. */
     void evacuation(domain_name const& domain, bool in_force, store_position position, milliseconds state_age);
     /**
-     * The belief about backend servers and gateways changed. Every gateway learns the same, so that those that watch
-     * the store name each change, and all others, and a full read, only say how many and up to which revision: a
-     * line for each entry at each VM would grow with the square of the fleet.
-     * @param changes what changed; no line when it is empty. @param named whether each gets a line. @param position
-     * of the answer. @param state_age age of the copy.
+     * Logs changes of backend servers and gateways. Every gateway receives the same changes. Only those that watch the
+     * store itself write a line for each change; the others, and all after a full read, write one line with the numbers
+     * of changes and their position: a line for each change on each VM would grow with the square of the fleet.
+     * @param changes the changes; nothing is written if empty. @param named whether to write a line for each change.
+     * @param position position of the response. @param state_age time since the local copy was last confirmed.
      */
     void learned(std::vector<state_change> const& changes, bool named, store_position position, milliseconds state_age);
-    /** What is believed of a request changed. @param change what and why. @param remaining how long it stays in
-     * quarantine.
-     */
+    /** Logs a change of the quarantine state of a request. @param change the change. @param remaining time until the
+     *  quarantine of the request ends. */
     void quarantine(request_quarantine::change const& change, milliseconds remaining);
-    /** The process started, stops or reloads. @param event which. */
+    /** Logs an event of the process: start, stop or reload. @param event name of the event. */
     void process(char const* event);
 
 private:
-    /** Writes one line. @param fields its fields, beginning with "event". */
+    /** Writes one line. @param fields its fields, with "event" first. */
     void write(nlohmann::json const& fields);
-    /** Counts of one kind of line in the present second. */
+    /** Rate limit of one kind of line. */
     struct quota {
-        std::int64_t second = 0; ///< Present second.
-        int lines = 0;           ///< Lines written in it.
+        std::int64_t second = 0; ///< Current second.
+        int lines = 0;           ///< Lines in this second, left out ones included.
     };
-    /** @return whether a line may be written now. @param kind its kind's counts. @param per_second most lines. */
+    /** Counts a line and applies the rate limit. @param kind counters of its kind. @param per_second most lines in a
+     *  second. @return whether the line may be written. */
     bool allowed(quota& kind, int per_second);
 
-    event_loop& m_loop;                             ///< Time.
+    event_loop& m_loop;                             ///< For the current time.
     log4cplus::Logger m_logger;                     ///< Logger.
     quota m_requests;                               ///< Lines about requests.
-    quota m_sources;                                ///< Lines about the source of the store's state.
+    quota m_sources;                                ///< Lines about the source of the local copy.
     quota m_quarantine;                             ///< Lines about requests that crash backend servers.
-    quota m_learned;                                ///< Lines about what was learned from it.
+    quota m_learned;                                ///< Lines about changes of the local copy.
     std::map<std::string, std::string> m_bad_items; ///< Last reason written, by key.
 
-    std::uint64_t m_left_out = 0; ///< Lines left out since the last one written.
+    std::uint64_t m_left_out = 0; ///< Lines left out since the last line about a request.
 };
 
 } // namespace cornelspring
--- a/src/gateway/gateway_metrics.cpp
+++ b/src/gateway/gateway_metrics.cpp
@@ -6,7 +6,7 @@
 namespace cornelspring {
 namespace {
 
-/** Latency buckets in seconds. */
+/** Upper bounds of the latency buckets, in seconds. */
 prometheus::Histogram::BucketBoundaries const latency_buckets{0.005, 0.01, 0.02, 0.05, 0.1, 0.15,
                                                               0.25,  0.5,  1,    2,    5,   10};
 
--- a/src/gateway/gateway_metrics.hpp
+++ b/src/gateway/gateway_metrics.hpp
@@ -14,33 +14,34 @@
 class gateway_metrics {
 public:
     gateway_metrics();
-    /** Counts a request that ended. @param summary what became of it. */
+    /** Counts a finished request. @param summary its outcome. */
     void on_request(request_summary const& summary);
-    /** Counts an attempt that ended. @param end how. */
+    /** Counts a finished attempt. @param end its outcome. */
     void on_attempt(attempt_end end);
-    /** Present values of the gauges. */
+    /** Values of the gauges. */
     struct gauges {
-        std::size_t open_requests = 0;      ///< Requests not yet answered.
-        std::size_t caller_connections = 0; ///< Connections of callers.
+        std::size_t open_requests = 0;      ///< Requests in flight.
+        std::size_t caller_connections = 0; ///< Open connections of callers.
         std::uint64_t connections = 0;      ///< Connections to backend servers opened since the start.
-        std::size_t evacuated_domains = 0;  ///< Failure domains evacuated.
-        std::size_t cold_servers = 0;       ///< Backend servers that say that they are cold.
-        std::int64_t store_era = 0;         ///< Era of the copy of the store.
-        std::uint64_t superseded = 0;       ///< Changes of the store left out, newer ones being known.
+        std::size_t evacuated_domains = 0;  ///< Evacuated failure domains.
+        std::size_t cold_servers = 0;       ///< Backend servers that report that they are cold.
+        std::int64_t store_era = 0;         ///< Era of the local copy of the store.
+        std::uint64_t superseded = 0;       ///< Changes of the store ignored because newer ones were known.
     };
-    /** Sets the gauges. @param values present values. */
+    /** Sets the gauges. @param values current values. */
     void set_state(gauges const& values);
     /** @return all metrics as Prometheus text. */
     std::string text() const;
 
 private:
     std::shared_ptr<prometheus::Registry> m_registry;     ///< Owner of the metrics.
-    prometheus::Family<prometheus::Counter>& m_requests;  ///< Requests by route and reason.
+    prometheus::Family<prometheus::Counter>& m_requests;  ///< Requests by route and outcome.
     prometheus::Family<prometheus::Histogram>& m_latency; ///< Latency by route.
-    prometheus::Family<prometheus::Counter>& m_attempts;  ///< Attempts by end.
+    prometheus::Family<prometheus::Counter>& m_attempts;  ///< Attempts by outcome.
     prometheus::Family<prometheus::Counter>& m_extra;     ///< Hedges and retries.
-    prometheus::Family<prometheus::Counter>& m_unplaced;  ///< Choices without a server, by rule.
-    prometheus::Family<prometheus::Gauge>& m_state;       ///< Gauges.
+    prometheus::Family<prometheus::Counter>&
+        m_unplaced; ///< Choices of a backend server that a placement rule left without one, by rule.
+    prometheus::Family<prometheus::Gauge>& m_state; ///< Gauges.
 };
 
 } // namespace cornelspring
--- a/src/gateway/gateway_state.cpp
+++ b/src/gateway/gateway_state.cpp
@@ -1,5 +1,5 @@
-/** @file gateway_state.cpp The gateway's copy of the store: where it comes from, what follows from it, who follows it.
- */
+/** @file gateway_state.cpp The gateway's local copy of the store: its source, how its changes are applied, and the
+ *  followers that read from it. */
 #include "gateway_impl.hpp"
 
 #include <algorithm>
@@ -8,19 +8,20 @@
 namespace cornelspring {
 namespace {
 
-/** What was seen of crashing requests is told once in this time: servers of many shards end within it. */
+/** Delay before new crash records are written, so that one write covers a request that crashes the servers of many
+ *  shards: they crash within this time. */
 constexpr milliseconds crash_records_delay{50};
-/** Connections of a backend server for each active gateway, those left free for restarts included. */
+/** Connections of a backend server planned for each active gateway, including spare ones for restarts. */
 constexpr double connections_per_gateway = 3.3;
 
-/** @return what follows @p name and an equals sign in the query of @p target; empty when it is not there. */
+/** @return the rest of @p target after "NAME=" in its query; empty if there is no such parameter. */
 std::string_view query_rest(std::string_view target, std::string const& name)
 {
     auto const at = target.find(name + "=");
     return at == std::string_view::npos ? std::string_view() : target.substr(at + name.size() + 1);
 }
 
-/** @return the number given as @p name in the query of @p target. */
+/** @return the numeric parameter @p name in the query of @p target. */
 std::optional<std::int64_t> query_number(std::string const& target, std::string const& name)
 {
     std::int64_t value = 0;
@@ -48,7 +49,7 @@
     events.on_current_response = [this](feed_source const& source, milliseconds unheard) {
         store_responses = source.is_store() ? store_responses + 1 : 0;
         if (source.is_store()) on_store_call(true);
-        // A follower may not have called the store itself during an outage.
+        // A follower may not have called the store during an outage, so it detects the outage by the age of its copy.
         if (unheard > max_fresh_age) on_store_back();
     };
     events.on_search_changed = [this](bool searching) { followers.set_searching(searching); };
@@ -63,7 +64,6 @@
     quarantine.on_change([this](auto const& change) { on_quarantine(change); });
 }
 
-/** Notes whether a call to the store succeeded: entries may lapse during an outage and come back after it. */
 void gateway::impl::on_store_call(bool ok)
 {
     if (ok == store_up) return;
@@ -80,7 +80,8 @@
     on_store_back();
 }
 
-/** Entries that lapsed while the store was away get time to return; this comes before their removal is taken in. */
+/** Gives registrations that lapsed during the outage time to be written again; called before their removals are
+ *  applied. */
 void gateway::impl::on_store_back()
 {
     registry.on_store_back(loop.now());
@@ -138,7 +139,8 @@
     auto const until = loop.now() + lapse_grace;
     auto taken = missing.defer(std::move(differences), until);
     log.store_restored(as_of, known, all - taken.size());
-    // Gateways tell what they know of crashes again in this era; what the copy holds of it may be older than that.
+    // Gateways write their crash records again in the new era. Those in the restored store may be older than the ones
+    // already known, so they are not applied.
     std::erase_if(taken, [](store_item const& item) { return item.key.starts_with(crash_records_prefix); });
     member_registration->on_store_era(as_of.era);
     crash_registration->on_store_era(as_of.era);
@@ -149,7 +151,7 @@
 
 void gateway::impl::apply_missing_removals()
 {
-    // Nothing is known to be missing while nobody confirms the copy.
+    // While the local copy is not confirmed, the missing items may have been written again without this VM knowing it.
     if (followers.age() > max_fresh_age) {
         missing.postpone(loop.now() + lapse_grace);
         loop.run_at(loop.now() + lapse_grace, [this] { apply_missing_removals(); });
@@ -182,7 +184,7 @@
 
 void gateway::impl::log_changes(store_position as_of)
 {
-    // All VMs of a start watch the store once after their full read; those that do so again are its readers.
+    // After a full read every VM watches the store once. Only VMs that read from the store go on to watch it again.
     bool const reads_store = store_responses > 1;
     log.learned(std::exchange(changes, {}), reads_store, as_of, followers.age());
 }
@@ -193,7 +195,8 @@
     double const connections = config ? config->fewest_connections() : 0;
     auto const most = static_cast<std::size_t>(connections / connections_per_gateway);
     active = choose_active(members, most);
-    // Those that callers are not sent to see next to no requests; one that is not active counts itself among all.
+    // Inactive gateways receive next to no requests, so the active ones divide the budgets among themselves. A gateway
+    // that is not active itself counts all members.
     auto const sharing = active.contains(member_key()) ? active.size() : members.size();
     requests->set_vm_count(std::max(sharing, min_vms));
     places.shares().set_sharers(active, member_key(), loop.now());
@@ -215,7 +218,7 @@
         }
     } catch (std::exception const& failure) {
         log.bad_item(item.key, item.position, failure.what());
-        // What cannot be read names no backend server, whatever it named before; its next good entry brings it back.
+        // A registration that cannot be decoded counts as removed; the next valid one adds the backend server again.
         if (item.key.starts_with(codec.backend_prefix)) remove_backend(backend_of(item), item.position);
     }
 }
@@ -275,7 +278,7 @@
 void gateway::impl::on_quarantine(request_quarantine::change const& change)
 {
     log.quarantine(change, quarantine.quarantine_left(change.digest, loop.now()));
-    if (!change.to_tell) return; // Each gateway tells only what it has seen itself.
+    if (!change.to_tell) return; // A gateway shares only crashes that it has recorded itself.
     has_own_crash_records = true;
     if (std::exchange(crash_records_pending, true)) return;
     loop.run_at(loop.now() + crash_records_delay, [this] {
--- a/src/gateway/registration.cpp
+++ b/src/gateway/registration.cpp
@@ -1,4 +1,4 @@
-/** @file registration.cpp One key of this VM in the store, kept by a lease. */
+/** @file registration.cpp Maintains one item of this VM in the store under a lease. */
 #include "store_channel.hpp"
 
 #include <algorithm>
@@ -6,19 +6,19 @@
 namespace cornelspring {
 namespace {
 
-/** Longest wait for the answer of a call. */
+/** Longest wait for the response to a call. */
 constexpr milliseconds call_timeout{1000};
-/** Wait after a failed call; doubles up to the longest. */
+/** Wait after a failed call; doubles with each further failure, up to max_retry_wait. */
 constexpr milliseconds retry_wait{400};
-/** Longest wait after a failed call: a VM is named to callers again within it when the store is back. Without it,
- *  the VMs that the store turns away would call it several times as often. */
+/** Longest wait after a failed call: within it a VM is registered again, and its address given to callers, once the
+ * store is back. Without the back-off, VMs whose calls the store rejects would call it several times as often. */
 constexpr milliseconds max_retry_wait{1600};
-/** Renewals in each time to live: one may be lost. */
+/** Renewals within each time to live, so that one may be lost. */
 constexpr int renewals_per_ttl = 3;
-/** Status of an unknown lease. */
+/** Status of a response that says that the lease is unknown. */
 constexpr int status_not_found = 404;
 
-/** @return whether @p result is a success. */
+/** @return whether the call of @p result succeeded. */
 bool succeeded(exchange_result const& result) { return result.completed && result.response.status == 200; }
 
 } // namespace
@@ -26,36 +26,38 @@
 /** State of the registration. */
 struct registration::impl {
     event_loop& loop;                     ///< Event loop.
-    endpoint store;                       ///< Store.
-    store_codec const& codec;             ///< Store calls.
-    milliseconds ttl;                     ///< Time to live.
-    std::function<void(bool ok)> on_call; ///< Receives the success of calls.
-    store_channel channel;                ///< Connection.
-    std::string key;                      ///< Key.
-    std::string value;                    ///< Value.
-    std::int64_t lease = 0;               ///< Lease, or 0.
-    store_era lease_era;                  ///< Era of the store that granted it.
-    bool written = false;                 ///< The value was written under the lease.
+    endpoint store;                       ///< Address of the store.
+    store_codec const& codec;             ///< Translates calls to the store.
+    milliseconds ttl;                     ///< Time to live of the lease.
+    std::function<void(bool ok)> on_call; ///< Receives for each call whether it succeeded.
+    store_channel channel;                ///< Connection to the store.
+    std::string key;                      ///< Key of the item.
+    std::string value;                    ///< Value of the item.
+    std::int64_t lease = 0;               ///< Current lease; 0: none.
+    store_era lease_era;                  ///< Era of the store in which the lease was granted.
+    bool written = false;                 ///< The current value was written under the lease.
     bool revoked = false;                 ///< revoke() was called.
     milliseconds backoff{0};              ///< Wait after the last failed call; 0 after a success.
-    timer_id timer;                       ///< Next step.
+    timer_id timer;                       ///< Runs the next step.
 
+    /** Makes the next call: grants a lease, writes the item or renews the lease. */
     void step();
+    /** Runs step() after @p wait. */
     void schedule(milliseconds wait);
-    /** Tries again after a failed call. */
+    /** Runs step() again with back-off, after a failed call. */
     void retry();
-    /** Reports a call. @return whether it succeeded. */
+    /** Reports whether a call succeeded. @return @p ok. */
     bool report(bool ok);
     void on_lease(exchange_result const& result);
     void on_written(std::string const& sent, exchange_result const& result);
     void on_renewed(exchange_result const& result);
-    /** @return whether the store names another era than that of the lease: it may have lost the key, or the lease, or
-     *  have given the lease's number to another VM. */
+    /** @return whether the response is of another era than the lease. After a restoration the store may have lost the
+     *  item or the lease, or may have granted the number of the lease to another VM. */
     bool from_other_era(exchange_result const& result) const
     {
         return result.completed && codec.parse_era(result.response) != lease_era;
     }
-    /** Starts over with a new lease. */
+    /** Discards the lease, so that step() starts over with a new one. */
     void discard_lease()
     {
         lease = 0;
@@ -162,7 +164,7 @@
 void registration::on_removed()
 {
     if (m_impl->key.empty() || !m_impl->written || m_impl->revoked) return;
-    m_impl->discard_lease(); // It may have been revoked together with the key.
+    m_impl->discard_lease(); // The lease may have been revoked together with the item.
     m_impl->schedule(retry_wait);
 }
 
--- a/src/gateway/store_channel.cpp
+++ b/src/gateway/store_channel.cpp
@@ -1,11 +1,12 @@
-/** @file store_channel.cpp One connection for calls to the store or to another gateway. */
+/** @file store_channel.cpp A connection for calls to the store or to a peer gateway. */
 #include "store_channel.hpp"
 
 namespace cornelspring {
 namespace {
 
-/** An answer that has begun is given up when nothing of it arrives for so long. Large ones take a while on a small
- * link: given up and asked for anew, they never arrive. */
+/** A call is cancelled if no bytes arrive for this time after its response has started. There is no limit on the
+ * complete response: large ones take long on a slow link, and would never arrive if they were cancelled and requested
+ * again. */
 constexpr milliseconds progress_timeout{500};
 
 } // namespace
@@ -15,7 +16,7 @@
 {
     if (!m_connection || !m_connection->reusable() || m_peer != peer) {
         stream_options options;
-        options.keep_alive = true; // A connection that went silent is found while a watch waits.
+        options.keep_alive = true; // Detects a dead connection while a watch waits.
         m_connection = std::make_unique<client_connection>(m_loop, peer, options, message_limits{});
         m_peer = peer;
     }
@@ -39,7 +40,7 @@
             arm_timeout(number, by_now, progress_timeout, done);
             return;
         }
-        m_connection.reset(); // A connection on which an answer is lost returns nothing further.
+        m_connection.reset(); // After a lost response nothing more arrives on this connection.
         finish(number, {false, true, false, {}, "no answer in time"}, done);
     });
 }
@@ -50,7 +51,7 @@
     if (m_call_number != number) return;
     ++m_call_number;
     m_loop.cancel(m_timeout_timer);
-    // Deferred: the next call may replace the connection that is reporting.
+    // Deferred: this runs within a callback of the connection, which the next call may replace.
     m_loop.run_at(m_loop.now(), [result = std::move(result), done] { done(result); });
 }
 
--- a/src/gateway/store_channel.hpp
+++ b/src/gateway/store_channel.hpp
@@ -1,35 +1,37 @@
-/** @file store_channel.hpp One connection for calls to the store or to another gateway (internal). */
+/** @file store_channel.hpp A connection for calls to the store or to a peer gateway (internal). */
 #pragma once
 
 #include <cornelspring/gateway.hpp>
 
 namespace cornelspring {
 
-/** A connection that carries one call at a time and is replaced when a call gets no answer. */
+/** A connection that carries one call at a time and is replaced after a call without a response. */
 class store_channel {
 public:
     /** @param loop event loop. */
     explicit store_channel(event_loop& loop) : m_loop(loop) {}
     /**
-     * Makes a call. A call still under way is abandoned.
-     * @param peer where to. @param request call. @param timeout longest wait for the answer to begin; while it arrives,
-     * it is waited for. @param done receives the result, later.
+     * Makes a call and cancels the previous one if it is still in flight.
+     * @param peer address of the store or the gateway. @param request request. @param timeout longest wait for the
+     * start of the response; after that the call lasts as long as bytes keep arriving. @param done receives the result,
+     * never during this call.
      */
     void call(endpoint const& peer, http_request request, milliseconds timeout,
               std::function<void(exchange_result const&)> done);
 
 private:
-    /** Ends the call @p number when nothing has arrived since @p received bytes, else looks again later. */
+    /** Cancels the call @p number after @p timeout if no bytes arrived meanwhile, else checks again later. @param
+     * received bytes received on the connection so far. */
     void arm_timeout(std::uint64_t number, std::uint64_t received, milliseconds timeout,
                      std::function<void(exchange_result const&)> const& done);
-    /** Reports the result of a call, once. */
+    /** Reports the result of the call @p number, once. */
     void finish(std::uint64_t number, exchange_result result, std::function<void(exchange_result const&)> const& done);
 
     event_loop& m_loop;                              ///< Event loop.
     std::unique_ptr<client_connection> m_connection; ///< Connection.
-    endpoint m_peer;                                 ///< Its peer.
-    timer_id m_timeout_timer;                        ///< Ends a call without an answer.
-    std::uint64_t m_call_number = 0; ///< Grows with each call and each end of one; tells late results apart.
+    endpoint m_peer;                                 ///< Peer of the connection.
+    timer_id m_timeout_timer;                        ///< Cancels a call without a response.
+    std::uint64_t m_call_number = 0; ///< Incremented when a call starts or finishes, to detect late results.
 };
 
 } // namespace cornelspring
