--- a/tests/test_busy_process.cpp
+++ b/tests/test_busy_process.cpp
@@ -1,4 +1,5 @@
-/** @file test_busy_process.cpp A process that is behind with its work tells backend servers the time that is left. */
+/** @file test_busy_process.cpp The remaining time that requests carry, and extra attempts, when the process or its
+ *  uplink is overloaded. */
 #include "dispatcher_fixture.hpp"
 
 #include <cornelspring/gateway.hpp>
@@ -12,7 +13,7 @@
 
 namespace {
 
-/** A gateway's connections to one backend server that answers everything, on one event loop. */
+/** A backend pool and a backend server that responds to every request, on one event loop. */
 struct busy_process {
     busy_process()
     {
@@ -37,7 +38,7 @@
             loop.stop();
         });
     }
-    /** Sends a request whose caller waits for @p time from now on. */
+    /** Sends a request whose deadline is @p time from now. */
     void send(std::chrono::milliseconds time)
     {
         outgoing_attempt order;
@@ -62,11 +63,12 @@
 
 } // namespace
 
-TEST_CASE("busy process: the time left is told as of when the request leaves, not as of when it was decided")
+TEST_CASE(
+    "busy process: the deadline header has the time left when the request is sent, not when the attempt was started")
 {
     busy_process process;
     process.send(1000ms);
-    std::this_thread::sleep_for(200ms); // The connection is established meanwhile, unseen.
+    std::this_thread::sleep_for(200ms); // The connection is established meanwhile, but the event loop does not run.
     process.loop.run();
     REQUIRE(process.deadlines.size() == 1);
     CHECK(std::stoi(process.deadlines[0]) <= 800);
@@ -74,7 +76,7 @@
     CHECK(process.results.at(0).outcome == attempt_end::answered);
 }
 
-TEST_CASE("busy process: a request whose time is up before it can leave is not sent")
+TEST_CASE("busy process: a request whose deadline passes before it can be sent is not sent")
 {
     busy_process process;
     process.send(50ms);
@@ -84,13 +86,13 @@
     CHECK(process.results.at(0).outcome == attempt_end::not_sent);
 }
 
-TEST_CASE("busy process: time for which requests may have waited unread is counted")
+TEST_CASE("busy process: the time that a request may have waited unread in the socket is counted")
 {
     busy_process process;
     tcp_stream caller(process.loop, process.address, {}, {});
     process.loop.run_at(clock::now() + 20ms, [&] {
         caller.send("GET /x HTTP/1.1\r\nhost: h\r\n\r\n");
-        std::this_thread::sleep_for(80ms); // Busy with something else while the request lies in the socket.
+        std::this_thread::sleep_for(80ms); // The process is busy while the request waits in the socket.
     });
     process.loop.run_at(clock::now() + 300ms, [&] { caller.send("GET /x HTTP/1.1\r\nhost: h\r\n\r\n"); });
     process.loop.run_at(clock::now() + 500ms, [&] { process.loop.stop(); });
@@ -98,10 +100,10 @@
     REQUIRE(process.waited.size() == 2);
     CHECK(process.waited[0] >= 75ms);
     CHECK(process.waited[0] < 200ms);
-    CHECK(process.waited[1] < 50ms); // An idle loop reads at once, however long it slept before.
+    CHECK(process.waited[1] < 50ms); // An idle event loop reads at once, however long it was idle before.
 }
 
-TEST_CASE("busy process: what a request has waited is taken off the time of its caller")
+TEST_CASE("busy process: the time that a request waited unread is subtracted from the caller's deadline")
 {
     dispatcher_fixture fleet;
     fleet.max_unread = 300ms;
@@ -113,22 +115,22 @@
     CHECK(fleet.sent.size() == 1);
 }
 
-TEST_CASE("busy process: second attempts that come up late wait until what has arrived is read")
+TEST_CASE("busy process: hedges that are due late wait until the responses that have arrived are read")
 {
     dispatcher_fixture fleet;
     auto const key = fleet.start("/gather/x", "id1");
     REQUIRE(fleet.sent.size() == 4);
-    fleet.now += 150ms; // The process did nothing for longer than any hedge delay.
+    fleet.now += 150ms; // The process was stalled for longer than any hedge delay.
     fleet.requests->on_timer(fleet.now);
     CHECK(fleet.sent.size() == 4);
     for (std::size_t i = 0; i < 3; ++i)
         fleet.respond(i, 200, std::string(16, 'a'));
-    SUBCASE("a shard without an answer then is asked a second time")
+    SUBCASE("a shard still without a response is hedged")
     {
         fleet.advance(2ms);
         CHECK(fleet.sent.size() == 5);
     }
-    SUBCASE("one with an answer is not")
+    SUBCASE("a shard with a response is not hedged")
     {
         fleet.respond(3, 200, std::string(16, 'a'));
         fleet.advance(2ms);
@@ -137,11 +139,11 @@
     }
 }
 
-TEST_CASE("busy process: bytes that wait at a full link are taken off the time that a backend server is told")
+TEST_CASE("busy process: the time that bytes wait for a full uplink is subtracted from the deadline header")
 {
     busy_process process;
     process.loop.set_uplink(100e3);
-    process.send(2000ms); // The next ones wait behind these bytes.
+    process.send(2000ms); // Not delayed: the uplink is idle.
     process.loop.run();
     std::unique_ptr<tcp_stream> feed;
     auto accepted = std::make_shared<std::unique_ptr<tcp_stream>>();
@@ -150,7 +152,7 @@
     });
     stream_events events;
     events.on_connected = [&] {
-        feed->send(std::string(50000, 'x')); // Half a second of the link.
+        feed->send(std::string(50000, 'x')); // Takes the uplink half a second.
         process.loop.stop();
     };
     feed = std::make_unique<tcp_stream>(process.loop, endpoint{"127.0.0.1", listener.port()}, stream_options{},
@@ -163,7 +165,7 @@
     CHECK(std::stoi(process.deadlines[1]) <= 1510);
 }
 
-TEST_CASE("uplink: bytes drain at the link's rate")
+TEST_CASE("uplink: the backlog drains at the uplink's rate")
 {
     uplink_backlog link(1e6);
     time_point const begin{};
--- a/tests/test_gateway_state.cpp
+++ b/tests/test_gateway_state.cpp
@@ -1,4 +1,4 @@
-/** @file test_gateway_state.cpp The copy of the store, where it is read from, and which gateways serve callers. */
+/** @file test_gateway_state.cpp The local copy of the store, the choice of its source, and the gateways for callers. */
 #include <cornelspring/gateway.hpp>
 
 #include <doctest/doctest.h>
@@ -8,7 +8,7 @@
 
 namespace {
 
-/** @return a member at failure domain @p domain of region @p region. */
+/** @return a member in failure domain @p domain of region @p region. */
 gateway_member member_of(std::string const& domain, std::string const& region, int port, double capacity = 1)
 {
     return {{"127.0.0.1", static_cast<std::uint16_t>(port)},
@@ -19,10 +19,10 @@
             false};
 }
 
-/** @return the position of @p revision in an era. */
+/** @return the position of @p revision in era @p era. */
 store_position at(std::int64_t revision, std::int64_t era = 1) { return {store_era(era), revision}; }
 
-/** @return ports of @p addresses, sorted. */
+/** @return the set of ports of @p addresses. */
 std::set<int> ports(std::vector<endpoint> const& addresses)
 {
     std::set<int> found;
@@ -31,7 +31,7 @@
     return found;
 }
 
-/** @return the address question of a caller in @p domain of @p region. */
+/** @return the address query of a caller in failure domain @p domain of @p region. */
 address_query question(std::string const& region, std::string const& domain)
 {
     return {"h.example", region_name(region), domain_name(domain)};
@@ -39,7 +39,7 @@
 
 } // namespace
 
-TEST_CASE("mirror: followers get the differences of a complete re-read as changes")
+TEST_CASE("mirror: followers receive the differences found by a full read as changes")
 {
     state_mirror mirror;
     CHECK(mirror.replace({{"a", "1", at(5), false}, {"b", "1", at(6), false}}, at(7)).size() == 2);
@@ -62,7 +62,7 @@
 }
 
 TEST_CASE(
-    "mirror: changes of a later era are taken in whatever their revisions, and followers of an earlier one read anew")
+    "mirror: changes of a later era are applied whatever their revisions; followers in an earlier era read everything")
 {
     state_mirror mirror;
     mirror.replace({{"same", "1", at(5), false}, {"config", "3", at(60), false}, {"lost", "1", at(61), false}}, at(63));
@@ -85,7 +85,7 @@
         CHECK(item.position.era == store_era(2));
 }
 
-TEST_CASE("positions in the store's history are read as they were written")
+TEST_CASE("store positions: parsing returns the position that was formatted")
 {
     CHECK(parse_position(at(63, 2).to_string()) == at(63, 2));
     CHECK(at(60, 2) > at(63, 1));
@@ -93,7 +93,7 @@
         CHECK_FALSE(parse_position(text));
 }
 
-TEST_CASE("what is missing after a return to an older copy is held back, unless it is written again")
+TEST_CASE("missing items: removals found after a restoration are held back, and dropped if the item is written again")
 {
     deferred_removals missing;
     time_point const now{100s};
@@ -109,7 +109,7 @@
     CHECK(missing.take_due(now + 2s).empty());
 }
 
-TEST_CASE("feed: two heads of failure domains read the store, the other heads follow one of them")
+TEST_CASE("feed: two leaders of failure domains read the store, the other leaders follow one of them")
 {
     endpoint const store{"127.0.0.9", 1};
     member_map members;
@@ -124,20 +124,20 @@
     };
     CHECK(source(10, members) == "");
     CHECK(source(11, members) == "");
-    CHECK(source(12, members) == "g/10"); // Neither reader is in its region.
-    CHECK(source(16, members) == "g/10"); // Not a head: its own failure domain's.
+    CHECK(source(12, members) == "g/10"); // No gateway of its region reads the store.
+    CHECK(source(16, members) == "g/10"); // Not a leader: follows the leader of its failure domain.
     CHECK(source(17, members) == "g/11");
     CHECK(source(18, members) == "g/12");
-    SUBCASE("a head follows the reader of its region")
+    SUBCASE("a leader follows the gateway of its region that reads the store")
     {
         auto without = members;
         without.erase("g/11");
         CHECK(source(12, without) == "");
         CHECK(source(13, without) == "g/12");
         CHECK(source(14, without) == "g/10");
-        CHECK(source(17, without) == "g/10"); // Now a head, in the region of the first reader.
+        CHECK(source(17, without) == "g/10"); // Now a leader, in the region of the first gateway that reads the store.
     }
-    SUBCASE("a VM that is not registered follows like others, and reads the store when nobody is there to follow")
+    SUBCASE("a VM that is not registered follows as others do, and reads the store when there is no gateway to follow")
     {
         auto without = members;
         without.erase("g/12");
@@ -171,7 +171,7 @@
             keys.insert(target.peer_key);
         return keys;
     };
-    SUBCASE("one that fails is left out until it proves to be current")
+    SUBCASE("a failed source is not used until a freshness check succeeds")
     {
         second.on_failed({"g/1", {}}, now);
         CHECK_FALSE(second.choose(members));
@@ -181,13 +181,13 @@
         second.on_responded({"g/1", {}});
         CHECK(second.choose(members)->peer_key == "g/1");
     }
-    SUBCASE("one that stops is not followed")
+    SUBCASE("a stopping gateway is not followed")
     {
         members["g/1"].stopping = true;
         CHECK(second.choose(members)->is_store());
         CHECK_FALSE(asked(second, 0).contains("g/1"));
     }
-    SUBCASE("a VM that the store turns away follows what a search finds")
+    SUBCASE("a VM whose calls the store rejects follows the gateway that a search finds")
     {
         first.on_failed({"", store}, now);
         CHECK_FALSE(first.choose(members));
@@ -197,18 +197,18 @@
         first.on_failed({"g/4", {}}, now);
         CHECK_FALSE(first.choose(members));
     }
-    SUBCASE("a VM that need not read the store asks it only when others have been asked in vain")
+    SUBCASE("a search of a VM that need not read the store includes the store only in later rounds")
     {
         CHECK(asked(second, 0) == std::set<std::string>{"g/1", "g/3", "g/4"});
         CHECK(asked(second, 2) == std::set<std::string>{"", "g/1", "g/3", "g/4"});
     }
-    SUBCASE("full reads go to the store while it answers")
+    SUBCASE("full reads go to the store while it responds")
     {
         CHECK(second.choose_for_read(members)->is_store());
         second.on_failed({"", store}, now);
         CHECK(second.choose_for_read(members)->peer_key == "g/1");
     }
-    SUBCASE("a VM that starts while the store is away asks the seeds")
+    SUBCASE("a VM that starts while the store is unreachable asks the seeds")
     {
         auto starting = selector("g/9", "d1", {{"127.0.0.7", 7}});
         CHECK(starting.choose({})->is_store());
@@ -218,7 +218,7 @@
         REQUIRE(targets.size() == 2);
         CHECK(targets[0].address == endpoint{"127.0.0.7", 7});
         CHECK(targets[1].is_store());
-        // Also while only its own registration is known.
+        // The same while only its own registration is known.
         member_map const alone{{"g/9", member_of("d1", "r", 9)}};
         starting.on_found(targets[0]);
         REQUIRE(starting.choose(alone));
@@ -226,7 +226,7 @@
     }
 }
 
-TEST_CASE("feed: a search asks near gateways first, of different failure domains, and those that failed last")
+TEST_CASE("feed: a search asks near gateways of different failure domains first, and failed ones last")
 {
     member_map members;
     for (int i = 0; i < 24; ++i) {
@@ -248,13 +248,13 @@
     CHECK(std::set<std::string>(first.begin(), first.end()).size() == 4);
     CHECK(domains(1).size() == 8);
     CHECK(domains(2).size() >= 16);
-    CHECK(domains(3).size() <= 9); // After three rounds the store is probably down for all.
+    CHECK(domains(3).size() <= 9); // After three rounds the store is probably unreachable for all.
     for (int i : {5, 11, 17})
         selector.on_failed({"g/" + std::to_string(10 + i), {}}, time_point{});
     CHECK(domains(0)[0] == "d4");
 }
 
-TEST_CASE("addresses: callers are sent to gateways near them, within what backend servers accept")
+TEST_CASE("addresses: callers receive near gateways, no more than backend servers have connections for")
 {
     member_map members;
     for (int i = 0; i < 6; ++i) {
@@ -262,13 +262,13 @@
             member_of("d" + std::to_string(i / 3), "r" + std::to_string(i / 3), i, i % 3 + 1.0);
     }
     std::mt19937_64 random(1);
-    SUBCASE("the largest of each failure domain come first")
+    SUBCASE("the largest VMs of each failure domain are chosen first")
     {
         CHECK(choose_active(members, 2) == std::set<std::string>{"g/2", "g/5"});
         CHECK(choose_active(members, 4) == std::set<std::string>{"g/1", "g/2", "g/4", "g/5"});
         CHECK(choose_active(members, 100).size() == 6);
     }
-    SUBCASE("own failure domain first, more when there are too few")
+    SUBCASE("gateways of the caller's failure domain, or of a wider area when there are too few")
     {
         auto const all = choose_active(members, 100);
         CHECK(ports(choose_addresses(members, all, question("r1", "d1"), {}, random)) == std::set<int>{3, 4, 5});
@@ -276,7 +276,7 @@
         CHECK(ports(choose_addresses(members, few, question("r1", "d1"), {}, random)) == std::set<int>{2, 5});
         CHECK(ports(choose_addresses(members, all, question("x", "x"), {}, random)).size() == 6);
     }
-    SUBCASE("one that stops is named only when no other is left")
+    SUBCASE("stopping gateways are chosen only when no others are left")
     {
         for (auto& [key, member] : members)
             member.stopping = key != "g/0";
@@ -286,7 +286,7 @@
     }
 }
 
-TEST_CASE("addresses: callers are sent to small VMs only when the large ones are not enough")
+TEST_CASE("addresses: small VMs are chosen only when the capacity of the large ones is not enough")
 {
     auto const fleet = [](int large, int small) {
         member_map members;
@@ -298,14 +298,14 @@
     };
     CHECK(choose_active(fleet(3, 3), 100).size() == 6);
     CHECK(choose_active(fleet(3, 3), 100).count("g/106") == 0);
-    // One large VM in a failure domain: its loss would leave none.
+    // With one large VM in each failure domain, the loss of one would leave its domain without any.
     CHECK(choose_active(fleet(1, 1), 100).size() == 4);
-    // Many small ones carry what the large ones could not.
+    // The large ones alone have too little of the total capacity.
     CHECK(choose_active(fleet(2, 20), 100).size() == 44);
     CHECK(choose_active(fleet(0, 5), 100).size() == 10);
 }
 
-TEST_CASE("members: what is written to the store is read back")
+TEST_CASE("members: decoding returns the member that was encoded")
 {
     auto const member = member_of("d", "r", 7, 0.25);
     auto const read = decode_member(encode_member(member));
--- a/tests/test_store_channel.cpp
+++ b/tests/test_store_channel.cpp
@@ -1,4 +1,4 @@
-/** @file test_store_channel.cpp How long a call to the store or another gateway waits for its answer. */
+/** @file test_store_channel.cpp How long a call to the store or to a peer gateway waits for its response. */
 #include "gateway/store_channel.hpp"
 
 #include <doctest/doctest.h>
@@ -8,7 +8,7 @@
 
 namespace {
 
-/** A peer that sends an answer of ten pieces, one each 200 ms, and stops after some of them. */
+/** A peer whose response has ten chunks. It sends one every 200 ms and stops after @c chunks_sent of them. */
 struct slow_peer {
     explicit slow_peer(int chunks_sent)
         : listener(loop, {"127.0.0.1", 0}, [this, chunks_sent](int socket) {
@@ -22,7 +22,7 @@
           })
     {
     }
-    /** @return the result of a call with a limit of 300 ms, and the time that it took. */
+    /** @return the result and the duration of a call with a timeout of 300 ms. */
     std::pair<exchange_result, clock::duration> call()
     {
         std::pair<exchange_result, clock::duration> outcome;
@@ -43,7 +43,7 @@
 
 } // namespace
 
-TEST_CASE("channel: an answer that goes on arriving is waited for beyond the limit")
+TEST_CASE("channel: a call lasts beyond its timeout while its response keeps arriving")
 {
     slow_peer peer(10);
     auto const [result, took] = peer.call();
@@ -52,7 +52,7 @@
     CHECK(took > 1500ms);
 }
 
-TEST_CASE("channel: an answer that begins and stops is given up soon")
+TEST_CASE("channel: a call whose response starts and then stalls times out soon")
 {
     slow_peer peer(3);
     auto const [result, took] = peer.call();
