--- a/include/cornelspring/gateway.hpp
+++ b/include/cornelspring/gateway.hpp
@@ -201,12 +201,12 @@
  * region, else all. If the host has home regions, one gateway in the caller's region is enough; without one, gateways
  * in the home regions are chosen, and any others only if no gateway is live there: requests to such a host must not
  * pass through other regions.
- * @param members live gateways. @param active store keys of the active ones. @param asked query of the caller.
+ * @param members live gateways. @param active store keys of the active ones. @param query query of that caller.
  * @param homes home regions of the host; empty: any region. @param random source of the random order.
  * @return addresses, in random order.
  */
 std::vector<endpoint> choose_addresses(member_map const& members, std::set<std::string> const& active,
-                                       address_query const& asked, region_set const& homes, std::mt19937_64& random);
+                                       address_query const& query, region_set const& homes, std::mt19937_64& random);
 
 /** Settings of a gateway process. */
 struct gateway_settings {
--- a/src/gateway/address_query.cpp
+++ b/src/gateway/address_query.cpp
@@ -88,10 +88,10 @@
 }
 
 std::vector<endpoint> choose_addresses(member_map const& members, std::set<std::string> const& active,
-                                       address_query const& asked, region_set const& homes, std::mt19937_64& random)
+                                       address_query const& query, region_set const& homes, std::mt19937_64& random)
 {
-    auto const in_domain = [&](gateway_member const& each) { return each.domain == asked.domain; };
-    auto const in_region = [&](gateway_member const& each) { return each.region == asked.region; };
+    auto const in_domain = [&](gateway_member const& each) { return each.domain == query.domain; };
+    auto const in_region = [&](gateway_member const& each) { return each.region == query.region; };
     auto const in_home = [&](gateway_member const& each) { return homes.contains(each.region); };
     auto const anywhere = [](gateway_member const&) { return true; };
     auto const min_elsewhere = homes.empty() ? min_addresses : 1;
--- a/src/gateway/backend_pool.cpp
+++ b/src/gateway/backend_pool.cpp
@@ -76,9 +76,9 @@
  */
 std::string backend_pool::impl::write_request(outgoing_attempt const& order, time_point now) const
 {
-    auto const left = std::chrono::duration_cast<milliseconds>(order.caller_deadline - now - loop.uplink_wait());
-    if (left.count() <= 0) return {};
-    return order.head + options.names.deadline + ": " + std::to_string(left.count()) + "\r\n\r\n" + order.body;
+    auto const remaining = std::chrono::duration_cast<milliseconds>(order.caller_deadline - now - loop.uplink_wait());
+    if (remaining.count() <= 0) return {};
+    return order.head + options.names.deadline + ": " + std::to_string(remaining.count()) + "\r\n\r\n" + order.body;
 }
 
 void backend_pool::impl::send(outgoing_attempt order)
--- a/src/gateway/caller_server.cpp
+++ b/src/gateway/caller_server.cpp
@@ -27,19 +27,19 @@
         bool internal = false;                  ///< Accepted on an internal address.
         bool head = false;                      ///< The request in flight is a HEAD request.
         bool close_after = false;               ///< Close once the response is sent.
-        bool refused = false;                   ///< Closing: received bytes are discarded.
+        bool lingering = false;                 ///< Closing: received bytes are discarded.
         bool sent_continue = false;             ///< 100 Continue was sent.
         timer_id timer;                         ///< Idle, header or linger time-out.
     };
-    event_loop& loop;                                                    ///< Event loop.
-    hooks service;                                                       ///< Callbacks into the service.
-    std::vector<std::unique_ptr<tcp_listener>> listeners;                ///< Listening sockets.
-    std::unordered_map<std::uint64_t, std::unique_ptr<connection>> open; ///< Open connections, by number.
-    std::unordered_map<std::uint64_t, std::uint64_t> serving;            ///< Connection number, by request key.
-    std::uint64_t last_connection = 0;                                   ///< Last connection number used.
-    std::uint64_t last_key = 0;                                          ///< Last request key used.
-    bool closing = false;                                                ///< Each response closes its connection.
-    std::size_t caller_connections = 0;                                  ///< Open connections that are not internal.
+    event_loop& loop;                                                           ///< Event loop.
+    hooks service;                                                              ///< Callbacks into the service.
+    std::vector<std::unique_ptr<tcp_listener>> listeners;                       ///< Listening sockets.
+    std::unordered_map<std::uint64_t, std::unique_ptr<connection>> connections; ///< Open connections, by number.
+    std::unordered_map<std::uint64_t, std::uint64_t> serving;                   ///< Connection number, by request key.
+    std::uint64_t last_connection = 0;                                          ///< Last connection number used.
+    std::uint64_t last_key = 0;                                                 ///< Last request key used.
+    bool closing = false;               ///< Each response closes its connection.
+    std::size_t caller_connections = 0; ///< Open connections that are not internal.
 
     void accept(int socket, bool internal);
     void on_bytes(std::uint64_t number, std::string_view bytes);
@@ -94,12 +94,12 @@
     events.on_bytes = [this, number](std::string_view bytes) { on_bytes(number, bytes); };
     events.on_end = [this, number](stream_end) { on_end(number); };
     events.on_flushed = [this, number] {
-        auto const found = open.find(number);
-        if (found != open.end() && found->second->close_after && !found->second->serving) remove(number);
+        auto const found = connections.find(number);
+        if (found != connections.end() && found->second->close_after && !found->second->serving) remove(number);
     };
     made->stream = std::make_unique<tcp_stream>(loop, socket, stream_options{}, std::move(events));
     set_timer(number, *made, limits.idle_timeout);
-    open.emplace(number, std::move(made));
+    connections.emplace(number, std::move(made));
     if (!internal) ++caller_connections;
 }
 
@@ -111,9 +111,9 @@
 
 void caller_server::impl::on_timer(std::uint64_t number)
 {
-    auto const found = open.find(number);
-    if (found == open.end() || found->second->serving) return;
-    if (found->second->refused || !found->second->reader->started()) {
+    auto const found = connections.find(number);
+    if (found == connections.end() || found->second->serving) return;
+    if (found->second->lingering || !found->second->reader->started()) {
         remove(number);
         return;
     }
@@ -122,10 +122,10 @@
 
 void caller_server::impl::on_bytes(std::uint64_t number, std::string_view bytes)
 {
-    auto const found = open.find(number);
-    if (found == open.end()) return;
+    auto const found = connections.find(number);
+    if (found == connections.end()) return;
     auto& from = *found->second;
-    if (from.refused || from.close_after) return;
+    if (from.lingering || from.close_after) return;
     if (!from.serving && from.pipelined.empty()) {
         read_requests(number, bytes);
         return;
@@ -139,7 +139,7 @@
 
 void caller_server::impl::read_requests(std::uint64_t number, std::string_view bytes)
 {
-    auto& from = *open.at(number);
+    auto& from = *connections.at(number);
     bool const was_started = from.reader->started();
     auto const used = from.reader->feed(bytes);
     if (from.reader->state() == parse_state::incomplete) {
@@ -182,21 +182,21 @@
 
 void caller_server::impl::refuse(std::uint64_t number, int status, char const* reason)
 {
-    auto& from = *open.at(number);
+    auto& from = *connections.at(number);
     service.on_refused(status, reason);
     http_response response;
     response.status = status;
     response.headers.push_back({"content-type", "text/plain"});
     response.body = std::string(reason) + "\n";
-    from.refused = true;
+    from.lingering = true;
     from.stream->send(serialize(response, true));
     set_timer(number, from, linger_timeout);
 }
 
 void caller_server::impl::on_end(std::uint64_t number)
 {
-    auto const found = open.find(number);
-    if (found == open.end()) return;
+    auto const found = connections.find(number);
+    if (found == connections.end()) return;
     auto const serving_key = found->second->serving;
     remove(number);
     if (serving_key) service.on_disconnect(*serving_key);
@@ -204,10 +204,10 @@
 
 void caller_server::impl::remove(std::uint64_t number)
 {
-    auto const found = open.find(number);
-    if (found == open.end()) return;
+    auto const found = connections.find(number);
+    if (found == connections.end()) return;
     auto const entry = std::move(found->second);
-    open.erase(found);
+    connections.erase(found);
     loop.cancel(entry->timer);
     if (entry->serving) serving.erase(entry->serving->value());
     if (!entry->internal) --caller_connections;
@@ -219,7 +219,7 @@
     if (found == serving.end()) return;
     auto const number = found->second;
     serving.erase(found);
-    auto& to = *open.at(number);
+    auto& to = *connections.at(number);
     to.serving.reset();
     to.close_after = to.close_after || closing;
     to.stream->send(serialize(response, to.close_after, to.head));
@@ -229,7 +229,7 @@
             loop.run_at(loop.now(), [this, number] { remove(number); });
         } else {
             set_timer(number, to, linger_timeout);
-            to.refused = true;
+            to.lingering = true;
         }
         return;
     }
@@ -237,8 +237,8 @@
     set_timer(number, to, limits_of(to).idle_timeout);
     if (to.pipelined.empty()) return;
     loop.run_at(loop.now(), [this, number] {
-        auto const again = open.find(number);
-        if (again == open.end() || again->second->serving) return;
+        auto const again = connections.find(number);
+        if (again == connections.end() || again->second->serving) return;
         auto const bytes = std::move(again->second->pipelined);
         again->second->pipelined.clear();
         read_requests(number, bytes);
@@ -268,7 +268,7 @@
 {
     m_impl->listeners.clear();
     std::vector<std::uint64_t> idle;
-    for (auto const& [number, each] : m_impl->open) {
+    for (auto const& [number, each] : m_impl->connections) {
         if (!each->serving && !each->reader->started()) idle.push_back(number);
     }
     for (auto const number : idle)
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -118,9 +118,9 @@
 
 http_response gateway::impl::address_response(std::string const& target)
 {
-    auto const asked = settings.decode_address_query(target);
-    auto const homes = configs.current() ? configs.current()->homes_of_host(asked.host) : region_set{};
-    auto chosen = choose_addresses(members, active, asked, homes, random);
+    auto const query = settings.decode_address_query(target);
+    auto const homes = configs.current() ? configs.current()->homes_of_host(query.host) : region_set{};
+    auto chosen = choose_addresses(members, active, query, homes, random);
     // A gateway that has not received any registration yet, not even its own, still knows that it can serve itself.
     if (chosen.empty() && ready() && settings.caller_address) chosen.push_back(*settings.caller_address);
     if (chosen.empty()) {
--- a/src/gateway/gateway_state.cpp
+++ b/src/gateway/gateway_state.cpp
@@ -109,14 +109,14 @@
 void gateway::impl::on_follower_request(request_key key, http_request const& request)
 {
     auto const path = request.path.substr(0, request.path.find('?'));
-    follower_request asked;
-    asked.kind = path == peer_paths::state       ? feed_call_kind::read
+    follower_request query;
+    query.kind = path == peer_paths::state       ? feed_call_kind::read
                  : path == peer_paths::freshness ? feed_call_kind::freshness
                                                  : feed_call_kind::watch;
-    asked.sender = request.header(peer_paths::sender_header);
-    asked.after = parse_position(query_rest(request.path, "after")).value_or(store_position());
-    asked.wait = milliseconds(query_number(request.path, "wait_ms").value_or(0));
-    followers.handle_request(key, asked);
+    query.sender = request.header(peer_paths::sender_header);
+    query.after = parse_position(query_rest(request.path, "after")).value_or(store_position());
+    query.wait = milliseconds(query_number(request.path, "wait_ms").value_or(0));
+    followers.handle_request(key, query);
 }
 
 // ---- Store ----
@@ -137,16 +137,16 @@
 {
     auto const all = differences.size();
     auto const until = loop.now() + lapse_grace;
-    auto taken = missing.defer(std::move(differences), until);
-    log.store_restored(as_of, known, all - taken.size());
+    auto to_apply = missing.defer(std::move(differences), until);
+    log.store_restored(as_of, known, all - to_apply.size());
     // Gateways write their crash records again in the new era. Those in the restored store may be older than the ones
     // already known, so they are not applied.
-    std::erase_if(taken, [](store_item const& item) { return item.key.starts_with(crash_records_prefix); });
+    std::erase_if(to_apply, [](store_item const& item) { return item.key.starts_with(crash_records_prefix); });
     member_registration->on_store_era(as_of.era);
     crash_registration->on_store_era(as_of.era);
     on_store_back();
     loop.run_at(until, [this] { apply_missing_removals(); });
-    return taken;
+    return to_apply;
 }
 
 void gateway::impl::apply_missing_removals()
@@ -193,8 +193,8 @@
 {
     auto const& config = configs.current();
     double const connections = config ? config->fewest_connections() : 0;
-    auto const most = static_cast<std::size_t>(connections / connections_per_gateway);
-    active = choose_active(members, most);
+    auto const max_active = static_cast<std::size_t>(connections / connections_per_gateway);
+    active = choose_active(members, max_active);
     // Inactive gateways receive next to no requests, so the active ones divide the budgets among themselves. A gateway
     // that is not active itself counts all members.
     auto const sharing = active.contains(member_key()) ? active.size() : members.size();
--- a/tests/test_busy_process.cpp
+++ b/tests/test_busy_process.cpp
@@ -145,17 +145,17 @@
     process.loop.set_uplink(100e3);
     process.send(2000ms); // Not delayed: the uplink is idle.
     process.loop.run();
-    std::unique_ptr<tcp_stream> feed;
+    std::unique_ptr<tcp_stream> bulk;
     auto accepted = std::make_shared<std::unique_ptr<tcp_stream>>();
     tcp_listener listener(process.loop, {"127.0.0.1", 0}, [&](int socket) {
         *accepted = std::make_unique<tcp_stream>(process.loop, socket, stream_options{}, stream_events{});
     });
     stream_events events;
     events.on_connected = [&] {
-        feed->send(std::string(50000, 'x')); // Takes the uplink half a second.
+        bulk->send(std::string(50000, 'x')); // Takes the uplink half a second.
         process.loop.stop();
     };
-    feed = std::make_unique<tcp_stream>(process.loop, endpoint{"127.0.0.1", listener.port()}, stream_options{},
+    bulk = std::make_unique<tcp_stream>(process.loop, endpoint{"127.0.0.1", listener.port()}, stream_options{},
                                         std::move(events));
     process.loop.run();
     process.send(2000ms);
