--- a/src/gateway/caller_server.cpp
+++ b/src/gateway/caller_server.cpp
@@ -27,9 +27,10 @@
         bool internal = false;                  ///< Accepted on an internal address.
         bool head = false;                      ///< The request in flight is a HEAD request.
         bool close_after = false;               ///< Close once the response is sent.
-        bool lingering = false;                 ///< Closing: received bytes are discarded.
-        bool sent_continue = false;             ///< 100 Continue was sent.
-        timer_id timer;                         ///< Idle, header or linger time-out.
+        bool lingering =
+            false; ///< Open only until the caller has read the last response; received bytes are discarded.
+        bool sent_continue = false; ///< 100 Continue was sent.
+        timer_id timer;             ///< Idle, header or linger time-out.
     };
     event_loop& loop;                                                           ///< Event loop.
     hooks service;                                                              ///< Callbacks into the service.
--- a/src/gateway/client_connection.cpp
+++ b/src/gateway/client_connection.cpp
@@ -56,7 +56,7 @@
 {
     m_bytes_received += bytes.size();
     while (!bytes.empty()) {
-        if (!m_exchange) { // Bytes without a request: the connection is out of step.
+        if (!m_exchange) { // Unexpected bytes: the connection must not be used again.
             m_unusable = true;
             if (m_on_idle_closed) m_on_idle_closed();
             return;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -121,7 +121,7 @@
     auto const query = settings.decode_address_query(target);
     auto const homes = configs.current() ? configs.current()->homes_of_host(query.host) : region_set{};
     auto chosen = choose_addresses(members, active, query, homes, random);
-    // A gateway that has not received any registration yet, not even its own, still knows that it can serve itself.
+    // Until the gateway has received any registration, its own included, it can at least return its own address.
     if (chosen.empty() && ready() && settings.caller_address) chosen.push_back(*settings.caller_address);
     if (chosen.empty()) {
         http_response response;
