--- a/src/gateway/feed_calls.cpp
+++ b/src/gateway/feed_calls.cpp
@@ -13,7 +13,7 @@
     feed_io made;
     made.fetch = [this](feed_call const& call, feed_io::response_handler const& done) {
         m_channel.call(call.source.address, request_of(call), call.timeout,
-                       [this, call, done](exchange_result const& result) { done(reply_of(call, result)); });
+                       [this, call, done](exchange_result const& result) { done(response_of(call, result)); });
     };
     made.check_freshness = [this](feed_call call, feed_io::response_handler done) {
         check_freshness(std::move(call), std::move(done));
@@ -34,7 +34,7 @@
     return translate.freshness(call.after);
 }
 
-feed_response feed_calls::reply_of(feed_call const& call, exchange_result const& result) const
+feed_response feed_calls::response_of(feed_call const& call, exchange_result const& result) const
 {
     if (!result.completed) return {0, result.detail, {}};
     if (result.response.status != 200) return {result.response.status, "", {}};
@@ -54,7 +54,7 @@
     auto request = request_of(call);
     channel->call(address, std::move(request), limit,
                   [this, number, call = std::move(call), done = std::move(done)](exchange_result const& result) {
-                      auto const reply = reply_of(call, result);
+                      auto const reply = response_of(call, result);
                       m_freshness_calls.erase(number);
                       done(reply);
                   });
--- a/src/gateway/feed_calls.hpp
+++ b/src/gateway/feed_calls.hpp
@@ -18,8 +18,8 @@
 private:
     /** @return the HTTP request of @p call. */
     http_request request_of(feed_call const& call) const;
-    /** @return the reply to @p call that @p result contains. */
-    feed_response reply_of(feed_call const& call, exchange_result const& result) const;
+    /** @return the response to @p call that @p result contains. */
+    feed_response response_of(feed_call const& call, exchange_result const& result) const;
     /** @return the codec for calls to @p source. */
     store_codec const& codec(feed_source const& source) const { return source.is_store() ? m_store : m_peer; }
     /** Makes a freshness check on its own connection, which is closed afterwards. */
