--- a/src/gateway/caller_server.cpp
+++ b/src/gateway/caller_server.cpp
@@ -1,4 +1,4 @@
-/** @file caller_server.cpp Connections of callers: strict reading, time limits, one answer for each request. */
+/** @file caller_server.cpp HTTP/1.1 server for callers: strict parsing, time-outs, one response to each request. */
 #include <cornelspring/gateway.hpp>
 
 #include <algorithm>
@@ -6,12 +6,13 @@
 namespace cornelspring {
 namespace {
 
-/** Bytes of following requests held while one is served; a caller that pipelines more is cut off. */
-constexpr std::size_t held_limit = 256 * 1024;
-/** How long a refused caller may go on sending, so that a reset does not destroy the refusal on its way. */
-constexpr milliseconds linger_limit{1000};
-/** Start line and headers of a question to the system itself. */
-constexpr std::size_t local_header_limit = 8192;
+/** Most bytes of pipelined requests held while a request is in flight; the connection is closed beyond that. */
+constexpr std::size_t max_pipelined_bytes = 256 * 1024;
+/** How long a connection stays open after its last response. An earlier close could send a reset, which can destroy the
+ *  response before the caller has read it. */
+constexpr milliseconds linger_timeout{1000};
+/** Allowed size of the start line and headers of internal requests, if the limit for callers is lower. */
+constexpr std::size_t internal_header_bytes = 8192;
 
 } // namespace
 
@@ -19,28 +20,29 @@
 struct caller_server::impl {
     /** One connection. */
     struct connection {
-        std::unique_ptr<tcp_stream> stream;     ///< TCP connection.
+        std::unique_ptr<tcp_stream> stream;     ///< TCP stream.
         std::unique_ptr<message_reader> reader; ///< Request reader.
-        std::string held;                       ///< Bytes after the request being served.
-        std::optional<request_key> serving;     ///< Request being served.
-        bool local = false;                     ///< For questions to the system itself.
-        bool head = false;                      ///< The request served is HEAD.
-        bool close_after = false;               ///< Close when the answer has left.
-        bool refused = false;                   ///< Only read until the caller has seen the refusal.
-        bool continued = false;                 ///< 100 Continue was sent.
-        timer_id timer;                         ///< Idle, header or linger limit.
+        std::string pipelined;                  ///< Bytes received after the request in flight.
+        std::optional<request_key> serving;     ///< Request in flight.
+        bool internal = false;                  ///< Accepted on an internal address.
+        bool head = false;                      ///< The request in flight is a HEAD request.
+        bool close_after = false;               ///< Close once the response is sent.
+        bool lingering =
+            false; ///< Open only until the caller has read the last response; received bytes are discarded.
+        bool sent_continue = false; ///< 100 Continue was sent.
+        timer_id timer;             ///< Idle, header or linger time-out.
     };
-    event_loop& loop;                                                    ///< Event loop.
-    hooks service;                                                       ///< Service.
-    std::vector<std::unique_ptr<tcp_listener>> listeners;                ///< Listening sockets.
-    std::unordered_map<std::uint64_t, std::unique_ptr<connection>> open; ///< By connection number.
-    std::unordered_map<std::uint64_t, std::uint64_t> serving;            ///< Connection by request key.
-    std::uint64_t last_connection = 0;                                   ///< Last connection number.
-    std::uint64_t last_key = 0;                                          ///< Last request key.
-    bool closing = false;                                                ///< Answers close their connections.
-    std::size_t caller_connections = 0;                                  ///< Connections that are not local.
+    event_loop& loop;                                                           ///< Event loop.
+    hooks service;                                                              ///< Callbacks into the service.
+    std::vector<std::unique_ptr<tcp_listener>> listeners;                       ///< Listening sockets.
+    std::unordered_map<std::uint64_t, std::unique_ptr<connection>> connections; ///< Open connections, by number.
+    std::unordered_map<std::uint64_t, std::uint64_t> serving;                   ///< Connection number, by request key.
+    std::uint64_t last_connection = 0;                                          ///< Last connection number used.
+    std::uint64_t last_key = 0;                                                 ///< Last request key used.
+    bool closing = false;               ///< Each response closes its connection.
+    std::size_t caller_connections = 0; ///< Open connections that are not internal.
 
-    void accept(int socket, bool local);
+    void accept(int socket, bool internal);
     void on_bytes(std::uint64_t number, std::string_view bytes);
     void read_requests(std::uint64_t number, std::string_view bytes);
     void on_request(std::uint64_t number, connection& from);
@@ -55,14 +57,14 @@
 
 namespace {
 
-/** @return how many headers are named @p name. */
+/** @return the number of headers named @p name. */
 std::size_t count_headers(http_request const& request, std::string_view name)
 {
     return static_cast<std::size_t>(std::count_if(request.headers.begin(), request.headers.end(),
                                                   [name](http_header const& each) { return each.name == name; }));
 }
 
-/** @return the refusal for a message that cannot be read. */
+/** @return status and text of the response to a message that cannot be parsed. */
 std::pair<int, char const*> refusal_of(parse_state state)
 {
     switch (state) {
@@ -77,15 +79,15 @@
 caller_limits caller_server::impl::limits_of(connection const& of) const
 {
     auto limits = service.limits();
-    if (of.local) limits.max_header_bytes = std::max(limits.max_header_bytes, local_header_limit);
+    if (of.internal) limits.max_header_bytes = std::max(limits.max_header_bytes, internal_header_bytes);
     return limits;
 }
 
-void caller_server::impl::accept(int socket, bool local)
+void caller_server::impl::accept(int socket, bool internal)
 {
     auto const number = ++last_connection;
     auto made = std::make_unique<connection>();
-    made->local = local;
+    made->internal = internal;
     auto const limits = limits_of(*made);
     made->reader = std::make_unique<message_reader>(message_reader::kind::request,
                                                     message_limits{limits.max_header_bytes, limits.max_body_bytes});
@@ -93,13 +95,13 @@
     events.on_bytes = [this, number](std::string_view bytes) { on_bytes(number, bytes); };
     events.on_end = [this, number](stream_end) { on_end(number); };
     events.on_flushed = [this, number] {
-        auto const found = open.find(number);
-        if (found != open.end() && found->second->close_after && !found->second->serving) remove(number);
+        auto const found = connections.find(number);
+        if (found != connections.end() && found->second->close_after && !found->second->serving) remove(number);
     };
     made->stream = std::make_unique<tcp_stream>(loop, socket, stream_options{}, std::move(events));
     set_timer(number, *made, limits.idle_timeout);
-    open.emplace(number, std::move(made));
-    if (!local) ++caller_connections;
+    connections.emplace(number, std::move(made));
+    if (!internal) ++caller_connections;
 }
 
 void caller_server::impl::set_timer(std::uint64_t number, connection& of, milliseconds limit)
@@ -110,9 +112,9 @@
 
 void caller_server::impl::on_timer(std::uint64_t number)
 {
-    auto const found = open.find(number);
-    if (found == open.end() || found->second->serving) return;
-    if (found->second->refused || !found->second->reader->started()) {
+    auto const found = connections.find(number);
+    if (found == connections.end() || found->second->serving) return;
+    if (found->second->lingering || !found->second->reader->started()) {
         remove(number);
         return;
     }
@@ -121,16 +123,16 @@
 
 void caller_server::impl::on_bytes(std::uint64_t number, std::string_view bytes)
 {
-    auto const found = open.find(number);
-    if (found == open.end()) return;
+    auto const found = connections.find(number);
+    if (found == connections.end()) return;
     auto& from = *found->second;
-    if (from.refused || from.close_after) return;
-    if (!from.serving && from.held.empty()) {
+    if (from.lingering || from.close_after) return;
+    if (!from.serving && from.pipelined.empty()) {
         read_requests(number, bytes);
         return;
     }
-    from.held.append(bytes);
-    if (from.held.size() > held_limit) {
+    from.pipelined.append(bytes);
+    if (from.pipelined.size() > max_pipelined_bytes) {
         service.on_refused(0, "too much was sent ahead");
         on_end(number);
     }
@@ -138,13 +140,13 @@
 
 void caller_server::impl::read_requests(std::uint64_t number, std::string_view bytes)
 {
-    auto& from = *open.at(number);
+    auto& from = *connections.at(number);
     bool const was_started = from.reader->started();
     auto const used = from.reader->feed(bytes);
     if (from.reader->state() == parse_state::incomplete) {
         if (!was_started) set_timer(number, from, limits_of(from).header_timeout);
-        if (from.reader->expects_continue() && !from.continued) {
-            from.continued = true;
+        if (from.reader->expects_continue() && !from.sent_continue) {
+            from.sent_continue = true;
             from.stream->send("HTTP/1.1 100 Continue\r\n\r\n");
         }
         return;
@@ -154,7 +156,7 @@
         refuse(number, status, reason);
         return;
     }
-    from.held.assign(bytes.substr(used));
+    from.pipelined.assign(bytes.substr(used));
     on_request(number, from);
 }
 
@@ -169,47 +171,47 @@
     from.serving = key;
     from.head = request.method == "HEAD";
     from.close_after = closing || !from.reader->keep_alive();
-    from.continued = false;
+    from.sent_continue = false;
     serving.emplace(key.value(), number);
     loop.cancel(from.timer);
     service.on_request({key,
                         std::move(request),
-                        from.local,
+                        from.internal,
                         {loop.unread_time(), from.stream->round_trip()},
                         caller_address(from.stream->peer_host())});
 }
 
 void caller_server::impl::refuse(std::uint64_t number, int status, char const* reason)
 {
-    auto& from = *open.at(number);
+    auto& from = *connections.at(number);
     service.on_refused(status, reason);
     http_response response;
     response.status = status;
     response.headers.push_back({"content-type", "text/plain"});
     response.body = std::string(reason) + "\n";
-    from.refused = true;
+    from.lingering = true;
     from.stream->send(serialize(response, true));
-    set_timer(number, from, linger_limit);
+    set_timer(number, from, linger_timeout);
 }
 
 void caller_server::impl::on_end(std::uint64_t number)
 {
-    auto const found = open.find(number);
-    if (found == open.end()) return;
+    auto const found = connections.find(number);
+    if (found == connections.end()) return;
     auto const serving_key = found->second->serving;
     remove(number);
-    if (serving_key) service.on_gone(*serving_key);
+    if (serving_key) service.on_disconnect(*serving_key);
 }
 
 void caller_server::impl::remove(std::uint64_t number)
 {
-    auto const found = open.find(number);
-    if (found == open.end()) return;
+    auto const found = connections.find(number);
+    if (found == connections.end()) return;
     auto const entry = std::move(found->second);
-    open.erase(found);
+    connections.erase(found);
     loop.cancel(entry->timer);
     if (entry->serving) serving.erase(entry->serving->value());
-    if (!entry->local) --caller_connections;
+    if (!entry->internal) --caller_connections;
 }
 
 void caller_server::impl::respond(request_key key, http_response response)
@@ -218,28 +220,28 @@
     if (found == serving.end()) return;
     auto const number = found->second;
     serving.erase(found);
-    auto& to = *open.at(number);
+    auto& to = *connections.at(number);
     to.serving.reset();
     to.close_after = to.close_after || closing;
     to.stream->send(serialize(response, to.close_after, to.head));
     if (to.close_after) {
         if (to.stream->unsent() == 0) {
-            // Not at once: the answer may be given while the connection's own callback runs.
+            // Deferred: respond() may be called within a callback of the connection.
             loop.run_at(loop.now(), [this, number] { remove(number); });
         } else {
-            set_timer(number, to, linger_limit);
-            to.refused = true;
+            set_timer(number, to, linger_timeout);
+            to.lingering = true;
         }
         return;
     }
     to.reader->restart();
     set_timer(number, to, limits_of(to).idle_timeout);
-    if (to.held.empty()) return;
+    if (to.pipelined.empty()) return;
     loop.run_at(loop.now(), [this, number] {
-        auto const again = open.find(number);
-        if (again == open.end() || again->second->serving) return;
-        auto const bytes = std::move(again->second->held);
-        again->second->held.clear();
+        auto const again = connections.find(number);
+        if (again == connections.end() || again->second->serving) return;
+        auto const bytes = std::move(again->second->pipelined);
+        again->second->pipelined.clear();
         read_requests(number, bytes);
     });
 }
@@ -251,11 +253,11 @@
 
 caller_server::~caller_server() = default;
 
-std::uint16_t caller_server::listen(endpoint const& address, bool local)
+std::uint16_t caller_server::listen(endpoint const& address, bool internal)
 {
     auto* state = m_impl.get();
     m_impl->listeners.push_back(std::make_unique<tcp_listener>(
-        m_impl->loop, address, [state, local](int socket) { state->accept(socket, local); }));
+        m_impl->loop, address, [state, internal](int socket) { state->accept(socket, internal); }));
     return m_impl->listeners.back()->port();
 }
 
@@ -267,7 +269,7 @@
 {
     m_impl->listeners.clear();
     std::vector<std::uint64_t> idle;
-    for (auto const& [number, each] : m_impl->open) {
+    for (auto const& [number, each] : m_impl->connections) {
         if (!each->serving && !each->reader->started()) idle.push_back(number);
     }
     for (auto const number : idle)
--- a/src/gateway/feed_calls.cpp
+++ b/src/gateway/feed_calls.cpp
@@ -1,4 +1,4 @@
-/** @file feed_calls.cpp The calls of a state feed over connections to the store and to other gateways. */
+/** @file feed_calls.cpp The calls of a state feed to the store and to peer gateways. */
 #include "feed_calls.hpp"
 
 namespace cornelspring {
@@ -13,10 +13,10 @@
     feed_io made;
     made.fetch = [this](feed_call const& call, feed_io::response_handler const& done) {
         m_channel.call(call.source.address, request_of(call), call.timeout,
-                       [this, call, done](exchange_result const& result) { done(reply_of(call, result)); });
+                       [this, call, done](exchange_result const& result) { done(response_of(call, result)); });
     };
     made.check_freshness = [this](feed_call call, feed_io::response_handler done) {
-        ask(std::move(call), std::move(done));
+        check_freshness(std::move(call), std::move(done));
     };
     made.now = [this] { return m_loop.now(); };
     made.run_at = [this](time_point when, std::function<void()> task) { m_loop.run_at(when, std::move(task)); };
@@ -34,28 +34,28 @@
     return translate.freshness(call.after);
 }
 
-feed_response feed_calls::reply_of(feed_call const& call, exchange_result const& result) const
+feed_response feed_calls::response_of(feed_call const& call, exchange_result const& result) const
 {
-    if (!result.answered) return {0, result.detail, {}};
+    if (!result.completed) return {0, result.detail, {}};
     if (result.response.status != 200) return {result.response.status, "", {}};
     try {
         return {200, "", codec(call.source).parse_batch(result.response)};
     } catch (std::exception const&) {
-        return {0, "malformed answer", {}}; // Logged by the feed as the reason why the source failed.
+        return {0, "malformed answer", {}}; // The feed logs this as the reason for the failure of the source.
     }
 }
 
-void feed_calls::ask(feed_call call, feed_io::response_handler done)
+void feed_calls::check_freshness(feed_call call, feed_io::response_handler done)
 {
-    auto const number = ++m_last_ask;
-    auto& channel = m_asks[number] = std::make_unique<store_channel>(m_loop);
+    auto const number = ++m_last_freshness_call;
+    auto& channel = m_freshness_calls[number] = std::make_unique<store_channel>(m_loop);
     auto const address = call.source.address;
     auto const limit = call.timeout;
     auto request = request_of(call);
     channel->call(address, std::move(request), limit,
                   [this, number, call = std::move(call), done = std::move(done)](exchange_result const& result) {
-                      auto const reply = reply_of(call, result);
-                      m_asks.erase(number);
+                      auto const reply = response_of(call, result);
+                      m_freshness_calls.erase(number);
                       done(reply);
                   });
 }
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -1,4 +1,4 @@
-/** @file gateway.cpp The gateway process: wires callers, dispatcher and backend pool together; stopping. */
+/** @file gateway.cpp The gateway process: connects caller server, dispatcher and backend pool, and stops them. */
 #include "gateway_impl.hpp"
 
 #include <csignal>
@@ -7,13 +7,14 @@
 namespace {
 
 /**
- * A stopping gateway stops accepting this long before its time is up, and lets the requests it has finish. Until then
- * it serves on: a VM that is restarted comes back only after the whole stop time, however early it ends, and when many
- * are restarted in turn the others may be away. Ending early left no gateway at all for seconds.
+ * A stopping gateway closes its listeners this long before its stop timeout and lets the requests in flight finish.
+ * Until then it serves new requests: a restarted VM is available again only after the complete stop time, even if the
+ * process exits early, and during a rolling restart the other gateways may be down at the same time. With an early exit
+ * no gateway at all was available for seconds.
  */
-constexpr milliseconds finish_time{1200};
-/** How often a stopping gateway looks whether its work is done. */
-constexpr milliseconds stop_poll{50};
+constexpr milliseconds drain_time{1200};
+/** How often a stopping gateway checks whether all requests have finished. */
+constexpr milliseconds stop_poll_interval{50};
 
 } // namespace
 
@@ -34,14 +35,14 @@
     };
     requests = std::make_unique<dispatcher>(settings.dispatch, configs, registry, places, quarantine, std::move(hooks),
                                             random());
-    requests->set_vm_count(least_vms);
+    requests->set_vm_count(min_vms);
 }
 
-void gateway::impl::make_callers()
+void gateway::impl::make_caller_server()
 {
     caller_server::hooks hooks;
     hooks.on_request = [this](caller_request request) { on_request(std::move(request)); };
-    hooks.on_gone = [this](request_key key) {
+    hooks.on_disconnect = [this](request_key key) {
         followers.cancel(key);
         requests->on_caller_disconnected(key, loop.now());
         wake_dispatcher();
@@ -55,7 +56,6 @@
     if (settings.metrics_address) callers->listen(*settings.metrics_address, true);
 }
 
-/** Arms the timer for the dispatcher's next due time. */
 void gateway::impl::wake_dispatcher()
 {
     auto const next = requests->next_due();
@@ -69,7 +69,7 @@
     });
 }
 
-gateway_member gateway::impl::self() const
+gateway_member gateway::impl::own_member() const
 {
     return {settings.caller_address.value_or(endpoint{}),
             settings.peer_address.value_or(endpoint{}),
@@ -84,14 +84,14 @@
 void gateway::impl::on_request(caller_request request)
 {
     if (request.internal) {
-        on_local(request.key, request.message);
+        on_internal_request(request.key, request.message);
         return;
     }
     requests->start(request.key, std::move(request.message), request.timing, std::move(request.caller), loop.now());
     wake_dispatcher();
 }
 
-void gateway::impl::on_local(request_key key, http_request const& request)
+void gateway::impl::on_internal_request(request_key key, http_request const& request)
 {
     auto const path = request.path.substr(0, request.path.find('?'));
     http_response response;
@@ -100,9 +100,9 @@
     } else if (path == settings.ready_path) {
         response.status = ready() ? 200 : 503;
     } else if (path == settings.addresses_path) {
-        response = addresses(request.path);
+        response = address_response(request.path);
     } else if (path == peer_paths::state || path == peer_paths::changes || path == peer_paths::freshness) {
-        on_follower(key, request);
+        on_follower_request(key, request);
         return;
     } else if (path == settings.metrics_path) {
         metrics.set_state({requests->open_requests(), callers->connections(), pool->connections_opened(),
@@ -116,12 +116,12 @@
     callers->respond(key, std::move(response));
 }
 
-http_response gateway::impl::addresses(std::string const& target)
+http_response gateway::impl::address_response(std::string const& target)
 {
-    auto const asked = settings.decode_address_query(target);
-    auto const homes = configs.current() ? configs.current()->homes_of_host(asked.host) : region_set{};
-    auto chosen = choose_addresses(members, active, asked, homes, random);
-    // Before a gateway hears of any registration, its own included, it knows one that serves: itself.
+    auto const query = settings.decode_address_query(target);
+    auto const homes = configs.current() ? configs.current()->homes_of_host(query.host) : region_set{};
+    auto chosen = choose_addresses(members, active, query, homes, random);
+    // Until the gateway has received any registration, its own included, it can at least return its own address.
     if (chosen.empty() && ready() && settings.caller_address) chosen.push_back(*settings.caller_address);
     if (chosen.empty()) {
         http_response response;
@@ -131,19 +131,19 @@
     return json_response(200, settings.encode_addresses(chosen, settings.addresses_ttl_s));
 }
 
-// ---- Stopping ----
+// ---- Stop ----
 
 void gateway::impl::on_signal(int number)
 {
     if (number == SIGHUP) {
-        log.process("reload"); // Addresses and limits of a VM are fixed while it runs; nothing is taken over.
+        log.process("reload"); // Nothing is reloaded: the addresses and limits of a VM are fixed while it runs.
         return;
     }
     if (stopping) return;
     stopping = true;
-    stop_began = loop.now();
+    stop_started_at = loop.now();
     log.process("stopping");
-    if (settings.caller_address) registered->set(member_key(), encode_member(self()));
+    if (settings.caller_address) member_registration->set(member_key(), encode_member(own_member()));
     callers->close_after_responses();
     stop_step();
 }
@@ -151,18 +151,18 @@
 void gateway::impl::stop_step()
 {
     auto const now = loop.now();
-    if (!stopped_accepting && now >= stop_began + settings.stop_timeout - finish_time) {
+    if (!stopped_accepting && now >= stop_started_at + settings.stop_timeout - drain_time) {
         stopped_accepting = true;
-        registered->end();
+        member_registration->revoke();
         callers->stop_listening();
     }
     bool const idle = stopped_accepting && requests->open_requests() == 0 && callers->connections() == 0;
-    if (idle || now >= stop_began + settings.stop_timeout) {
+    if (idle || now >= stop_started_at + settings.stop_timeout) {
         requests->finish_all(now);
-        loop.run_at(now + stop_poll, [this] { loop.stop(); });
+        loop.run_at(now + stop_poll_interval, [this] { loop.stop(); });
         return;
     }
-    loop.run_at(now + stop_poll, [this] { stop_step(); });
+    loop.run_at(now + stop_poll_interval, [this] { stop_step(); });
 }
 
 gateway::gateway(gateway_settings settings, store_codec codec)
