--- a/include/cornelspring/coordination.hpp
+++ b/include/cornelspring/coordination.hpp
@@ -58,11 +58,12 @@
      * Writes @p key when it is still at revision @p expected, and finds out what became of the write when the
      * reply is lost: reads the key back, and repeats the write while nothing changed.
      * @param key key. @param expected mod_revision it must have (0: must not exist). @param value new value.
-     * @param tries most writes sent.
+     * @param max_attempts most writes sent.
      * @return succeeded and the revision of the write; or not succeeded: someone else changed the key.
-     * @throw error the last one, when the outcome is still not known after @p tries.
+     * @throw error the last one, when the outcome is still not known after @p max_attempts.
      */
-    txn_result compare_and_swap(std::string const& key, std::int64_t expected, std::string const& value, int tries = 5);
+    txn_result compare_and_swap(std::string const& key, std::int64_t expected, std::string const& value,
+                                int max_attempts = 5);
     /** @return a new lease with @p ttl_s seconds to live. */
     granted_lease grant_lease(std::int64_t ttl_s);
     /** Renews @p lease. @return the cluster that did. @throw error not_found when it lapsed. */
@@ -184,19 +185,19 @@
 
 /** Settings of the back-end tracker. */
 struct tracker_options {
-    milliseconds eject_base{200};       ///< First ejection after repeated failures; doubles up to eject_max.
-    milliseconds eject_max{5000};       ///< Longest ejection.
-    int failures_to_eject = 2;          ///< Failures in a row before a back end is ejected.
-    milliseconds drain_hold{5000};      ///< A back end that said it drains gets no work for this long.
-    milliseconds shed_hold{20};         ///< A back end that shed is avoided for this long when another can serve.
-    double latency_weight = 0.2;        ///< Weight of a new latency sample in the moving average.
-    double outlier_factor = 4;          ///< A sample counts as at most this many times the average.
-    milliseconds forget_half_life{500}; ///< Without samples, the average halves in this time, so it is tried again.
+    milliseconds eject_base{200};        ///< First ejection after repeated failures; doubles up to eject_max.
+    milliseconds eject_max{5000};        ///< Longest ejection.
+    int failures_to_eject = 2;           ///< Failures in a row before a back end is ejected.
+    milliseconds drain_backoff{5000};    ///< A back end that said it drains gets no work for this long.
+    milliseconds shed_backoff{20};       ///< A back end that shed is avoided for this long when another can serve.
+    double latency_weight = 0.2;         ///< Weight of a new latency sample in the moving average.
+    double outlier_factor = 4;           ///< A sample counts as at most this many times the average.
+    milliseconds latency_half_life{500}; ///< Without samples, the average halves in this time, so it is tried again.
     std::chrono::microseconds initial_latency{100}; ///< Assumed of a back end not yet seen: low, so that it is tried.
 };
 
 /**
- * What one entry node has observed of the back ends: outstanding requests, latency, failures, drain
+ * What one entry node has observed of the back ends: in_flight requests, latency, failures, drain
  * signals and the platform's VM list. Owned by the HTTP/2 client's thread. It trusts what requests
  * show, not the back ends' own health and load endpoints, which lag or mislead.
  */
@@ -206,13 +207,14 @@
     explicit backend_tracker(tracker_options options = {}) : m_options(options) {}
     /** Notes a request sent. @param name back end. */
     void on_sent(std::string const& name);
-    /** Notes how a request ended. @param name back end. @param outcome how. @param took time it ran. @param now
+    /** Notes how a request ended. @param name back end. @param outcome how. @param elapsed time it ran. @param now
      * present. */
-    void on_finished(std::string const& name, attempt_outcome outcome, std::chrono::microseconds took, time_point now);
+    void on_finished(std::string const& name, attempt_outcome outcome, std::chrono::microseconds elapsed,
+                     time_point now);
     /** Replaces the addresses that the platform's VM list calls leaving. @param addresses host:port. */
-    void set_leaving_addresses(std::set<std::string> addresses) { m_leaving = std::move(addresses); }
+    void set_leaving_addresses(std::set<std::string> addresses) { m_leaving_addresses = std::move(addresses); }
     /** @return whether new work may go to @p target. @param target replica. @param now present time. */
-    bool takes_work(replica const& target, time_point now) const;
+    bool accepts_requests(replica const& target, time_point now) const;
     /** @return whether @p target is neither ejected nor shedding. @param target replica. @param now present time. */
     bool healthy(replica const& target, time_point now) const;
     /** @return expected wait at @p target in microseconds; lower is better. @param target replica. @param now present.
@@ -222,7 +224,7 @@
 private:
     /** Observations of one back end. */
     struct observation {
-        int outstanding = 0;    ///< Requests sent and not ended.
+        int in_flight = 0;      ///< Requests sent and not ended.
         double latency_us = 0;  ///< Moving average; 0 before the first sample.
         time_point sampled_at;  ///< When the last sample came.
         int failures = 0;       ///< Failures in a row.
@@ -233,7 +235,7 @@
 
     tracker_options m_options;                               ///< Thresholds.
     std::unordered_map<std::string, observation> m_backends; ///< Observations by back end name.
-    std::set<std::string> m_leaving;                         ///< Leaving addresses from the VM list.
+    std::set<std::string> m_leaving_addresses;               ///< Leaving addresses from the VM list.
 };
 
 /** Chooses among replicas of a shard: returns an index into @p candidates, skipping @p tried. */
@@ -251,13 +253,13 @@
 
 /** Outcome of a scatter-gather. */
 struct gather_result {
-    std::optional<query_answer> answer; ///< The answer, when at least one shard answered.
-    std::optional<error> failure;       ///< Otherwise why not.
-    int retry_after_s = 0;              ///< When the caller may come back, for failures.
-    std::int32_t dispatched = 0;        ///< Shard requests submitted (first tries, retries and hedges).
-    std::int32_t reached = 0;           ///< Of those, requests that left this process (may have run).
-    std::int32_t retries = 0;           ///< Requests sent after a failure.
-    std::int32_t hedges = 0;            ///< Requests sent while another was still open.
+    std::optional<query_answer> response; ///< The answer, when at least one shard answered.
+    std::optional<error> failure;         ///< Otherwise why not.
+    int retry_after_s = 0;                ///< When the caller may come back, for failures.
+    std::int32_t attempts = 0;            ///< Shard requests submitted (first tries, retries and hedges).
+    std::int32_t sent = 0;                ///< Of those, requests that left this process (may have run).
+    std::int32_t retries = 0;             ///< Requests sent after a failure.
+    std::int32_t hedges = 0;              ///< Requests sent while another was still open.
 };
 
 /** Settings of scatter-gather. */
@@ -273,8 +275,8 @@
     double hedge_tail_share = 0.1;         ///< Hedging begins when at most this share of a query's shards is open.
     double hedge_ratio = 0.05;             ///< Hedges allowed per shard request, in the long run.
     double hedge_burst = 50;               ///< Hedges allowed at once.
-    milliseconds hedge_min{1};             ///< Shortest hedge delay.
-    milliseconds hedge_initial{20};        ///< Hedge delay before latencies are known.
+    milliseconds min_hedge_delay{1};       ///< Shortest hedge delay.
+    milliseconds initial_hedge_delay{20};  ///< Hedge delay before latencies are known.
 };
 
 /** Gives the configuration in force now; hook used to re-pin a query whose index version was retired. */
@@ -310,27 +312,27 @@
     void start(state_ptr const& state, std::shared_ptr<config_snapshot const> snapshot);
     /** Sends shard @p shard to its next replica. @return false when no replica can be tried. */
     bool send_shard(state_ptr const& state, std::size_t shard);
-    /** Sends the request of shard @p shard to candidate @p pick. */
-    void dispatch(state_ptr const& state, std::size_t shard, std::size_t pick, time_point now);
+    /** Sends the request of shard @p shard to candidate @p candidate. */
+    void send_attempt(state_ptr const& state, std::size_t shard, std::size_t candidate, time_point now);
     /** Handles the result of one shard request. */
     void on_result(state_ptr const& state, std::uint64_t generation, std::size_t shard, std::int32_t number,
                    client_result result);
     /** Takes a shard's answer when it is this query's own. @return whether it was taken. */
-    bool accept_answer(query_state& state, std::size_t shard, std::string const& body);
+    bool accept_response(query_state& state, std::size_t shard, std::string const& body);
     /** Tries shard @p shard again after a failure: another replica now, or the same ones after a wait. */
     void retry_shard(state_ptr const& state, std::size_t shard);
     /** Cancels the requests of shard @p shard that are still open. */
-    void cancel_rest(query_state& state, std::size_t shard, time_point now);
+    void cancel_open_attempts(query_state& state, std::size_t shard, time_point now);
     /** Hedges every shard that has been open longer than the hedge delay, and comes back later. */
-    void hedge_slow(state_ptr const& state, std::uint64_t generation);
+    void hedge_slow_shards(state_ptr const& state, std::uint64_t generation);
     /** @return the present hedge delay for @p service. */
     std::chrono::microseconds hedge_delay(std::string const& service);
     /** Marks a shard as settled. */
-    void settle(state_ptr const& state, std::size_t shard);
+    void finish_shard(state_ptr const& state, std::size_t shard);
     /** Starts over at the version now in force when the pinned one was retired. @return whether it did. */
-    bool repin(state_ptr const& state);
+    bool restart_at_current_version(state_ptr const& state);
     /** Finishes the query when every shard is settled. */
-    void maybe_finish(state_ptr const& state);
+    void finish_if_complete(state_ptr const& state);
 
     h2_client& m_client;                                ///< Transport.
     gather_options m_options;                           ///< Limits.
@@ -355,17 +357,17 @@
     std::size_t workers = 8;                 ///< Writes carried at once.
     std::size_t queue_limit = 256;           ///< Writes waiting; more are refused as not run.
     milliseconds default_deadline{2000};     ///< Deadline when the caller gives none.
-    milliseconds claim_wait{1000};           ///< Longest time spent on a store that does not answer.
+    milliseconds claim_timeout{1000};        ///< Longest time spent on a store that does not answer.
     milliseconds retry_delay{50};            ///< Wait between store tries.
     std::int64_t retention_s = 86400;        ///< How long a record is kept: the idempotency window.
-    std::function<void(write_step)> at_step; ///< Fault-injection hook; may block (a paused process).
+    std::function<void(write_step)> on_step; ///< Fault-injection hook; may block (a paused process).
 };
 
 /** What became of a non-idempotent request. */
 struct write_result {
-    std::optional<write_answer> answer; ///< Its result, when it ran (now or before).
-    std::optional<error> failure;       ///< Otherwise not_run, unavailable, conflict or outcome_unknown.
-    int retry_after_s = 0;              ///< When the caller may come back.
+    std::optional<write_answer> response; ///< Its result, when it ran (now or before).
+    std::optional<error> failure;         ///< Otherwise not_run, unavailable, conflict or outcome_unknown.
+    int retry_after_s = 0;                ///< When the caller may come back.
 };
 
 /**
@@ -390,7 +392,7 @@
     void run(std::shared_ptr<config_snapshot const> snapshot, write_request request,
              std::function<void(write_result)> done);
     /** @return record updates that still wait for the store. Thread-safe. */
-    std::size_t unrecorded() const;
+    std::size_t pending_record_updates() const;
 
 private:
     /** A queued write. */
@@ -412,17 +414,18 @@
     struct dispatch_result;
 
     /** Body of a worker: runs queued writes until the stop. */
-    void work();
+    void run_worker();
     /** Carries one write through claim, send and record. @return what the caller is told. */
     write_result execute(job& task);
-    /** Creates the record @p mine at @p key, or finds who has it. @param deadline when the caller gives up. */
-    claim_result claim(std::string const& key, write_record const& mine, time_point deadline);
+    /** Creates the record @p own_record at @p key, or finds who has it. @param deadline when the caller gives up. */
+    claim_result claim(std::string const& key, write_record const& own_record, time_point deadline);
     /** Sends a claimed write to one replica, and to others only while it certainly did not run. */
     dispatch_result dispatch(job const& task);
     /** Asks the policy on the client thread. @return index of the replica, or none. */
-    std::optional<std::size_t> pick(std::vector<replica> const& candidates, std::vector<bool> const& tried);
+    std::optional<std::size_t> choose_replica(std::vector<replica> const& candidates, std::vector<bool> const& tried);
     /** Tells the tracker that a request was sent (no @p outcome) or how it ended. */
-    void note(std::string const& backend, std::optional<attempt_outcome> outcome, std::chrono::microseconds took);
+    void update_tracker(std::string const& backend, std::optional<attempt_outcome> outcome,
+                        std::chrono::microseconds elapsed);
     /** @return what a submission of a key that already has a record is told. */
     write_result replay(write_record const& record, write_request const& request) const;
     /** Writes a record change now, or later when the store does not answer. */
@@ -430,13 +433,13 @@
     /** @return whether the change is in the store (or overtaken). @throw error when the store does not answer. */
     bool try_update(record_update const& change);
     /** Body of the recorder: repeats record changes until the store takes them. */
-    void record_later();
+    void run_recorder();
     /** @return the store lease that new records hang on; grants one when due. */
     std::int64_t retention_lease();
     /** @return a new unique claim id. */
-    std::string new_claim();
+    std::string new_claim_id();
     /** Runs the fault-injection hook. */
-    void step(write_step where) const;
+    void run_step_hook(write_step where) const;
 
     store_client& m_store;                  ///< Store.
     h2_client& m_client;                    ///< Transport.
@@ -450,7 +453,7 @@
     std::deque<record_update> m_updates;    ///< Record changes waiting for the store.
     std::mt19937_64 m_random;               ///< Claim ids.
     std::int64_t m_lease = 0;               ///< Retention lease in use.
-    time_point m_lease_renew;               ///< When a new retention lease is granted.
+    time_point m_lease_renew_at;            ///< When a new retention lease is granted.
     bool m_stopping = false;                ///< Workers should end.
     std::vector<std::thread> m_workers;     ///< Workers.
     std::thread m_recorder;                 ///< Writes m_updates.
--- a/src/coordination/backend_tracker.cpp
+++ b/src/coordination/backend_tracker.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /** Replicas whose expected wait is within this factor of the lowest count as equal. */
-constexpr double near_factor = 1.3;
+constexpr double wait_tolerance = 1.3;
 /** Largest doubling of the first ejection. */
 constexpr int max_eject_doublings = 10;
 /** HTTP status of a back end that does not hold the shard at the pinned version. */
@@ -33,42 +33,42 @@
     return true;
 }
 
-void backend_tracker::on_sent(std::string const& name) { ++m_backends[name].outstanding; }
+void backend_tracker::on_sent(std::string const& name) { ++m_backends[name].in_flight; }
 
-void backend_tracker::on_finished(std::string const& name, attempt_outcome outcome, std::chrono::microseconds took,
+void backend_tracker::on_finished(std::string const& name, attempt_outcome outcome, std::chrono::microseconds elapsed,
                                   time_point now)
 {
-    auto& seen = m_backends[name];
-    seen.outstanding = std::max(0, seen.outstanding - 1);
+    auto& observed = m_backends[name];
+    observed.in_flight = std::max(0, observed.in_flight - 1);
     switch (outcome) {
     case attempt_outcome::succeeded:
     case attempt_outcome::canceled: {
-        auto sample = static_cast<double>(took.count());
+        auto sample = static_cast<double>(elapsed.count());
         double const weight = m_options.latency_weight;
         // A cancelled request only shows that the latency is at least this, so it never lowers the average.
-        if (outcome == attempt_outcome::canceled && sample < seen.latency_us) return;
+        if (outcome == attempt_outcome::canceled && sample < observed.latency_us) return;
         // One straggler says little of the next request, many in a row say much: each may raise the average a bit.
-        if (seen.latency_us > 0) sample = std::min(sample, seen.latency_us * m_options.outlier_factor);
-        seen.latency_us = seen.latency_us == 0 ? sample : (1 - weight) * seen.latency_us + weight * sample;
-        seen.sampled_at = now;
-        if (outcome == attempt_outcome::succeeded) seen.failures = 0;
+        if (observed.latency_us > 0) sample = std::min(sample, observed.latency_us * m_options.outlier_factor);
+        observed.latency_us = observed.latency_us == 0 ? sample : (1 - weight) * observed.latency_us + weight * sample;
+        observed.sampled_at = now;
+        if (outcome == attempt_outcome::succeeded) observed.failures = 0;
         return;
     }
     case attempt_outcome::not_held: return;
-    case attempt_outcome::shed: seen.shed_until = now + m_options.shed_hold; return;
-    case attempt_outcome::draining: seen.drain_until = now + m_options.drain_hold; return;
+    case attempt_outcome::shed: observed.shed_until = now + m_options.shed_backoff; return;
+    case attempt_outcome::draining: observed.drain_until = now + m_options.drain_backoff; return;
     case attempt_outcome::failed: {
-        if (++seen.failures < m_options.failures_to_eject) return;
-        int const doublings = std::min(seen.failures - m_options.failures_to_eject, max_eject_doublings);
-        seen.eject_until = now + std::min(m_options.eject_base * (1 << doublings), m_options.eject_max);
+        if (++observed.failures < m_options.failures_to_eject) return;
+        int const doublings = std::min(observed.failures - m_options.failures_to_eject, max_eject_doublings);
+        observed.eject_until = now + std::min(m_options.eject_base * (1 << doublings), m_options.eject_max);
         return;
     }
     }
 }
 
-bool backend_tracker::takes_work(replica const& target, time_point now) const
+bool backend_tracker::accepts_requests(replica const& target, time_point now) const
 {
-    if (!m_leaving.empty() && m_leaving.count(target.address.to_string()) != 0) return false;
+    if (!m_leaving_addresses.empty() && m_leaving_addresses.count(target.address.to_string()) != 0) return false;
     auto const found = m_backends.find(target.name);
     return found == m_backends.end() || found->second.drain_until <= now;
 }
@@ -85,16 +85,16 @@
     auto const assumed = static_cast<double>(microseconds(m_options.initial_latency).count());
     auto const found = m_backends.find(target.name);
     if (found == m_backends.end()) return assumed;
-    auto const& seen = found->second;
+    auto const& observed = found->second;
     double latency = assumed;
-    if (seen.latency_us > 0) {
+    if (observed.latency_us > 0) {
         // A back end that looked slow gets no requests and so no samples; forgetting lets it show itself again.
-        std::chrono::duration<double> const unseen = std::max(clock::duration::zero(), now - seen.sampled_at);
-        std::chrono::duration<double> const half_life = m_options.forget_half_life;
-        latency = seen.latency_us * std::exp2(-unseen / half_life);
+        std::chrono::duration<double> const sample_age = std::max(clock::duration::zero(), now - observed.sampled_at);
+        std::chrono::duration<double> const half_life = m_options.latency_half_life;
+        latency = observed.latency_us * std::exp2(-sample_age / half_life);
     }
     // Requests beyond the slots wait for one to end, so the expected wait grows with the queue per slot.
-    double const queued = static_cast<double>(seen.outstanding) / std::max(1, target.slots);
+    double const queued = static_cast<double>(observed.in_flight) / std::max(1, target.slots);
     return latency * (1.0 + queued);
 }
 
@@ -103,12 +103,12 @@
     auto random = std::make_shared<std::mt19937_64>(seed);
     return [random](std::vector<replica> const& candidates, std::vector<bool> const& tried,
                     time_point) -> std::optional<std::size_t> {
-        std::vector<std::size_t> open;
+        std::vector<std::size_t> untried;
         for (std::size_t i = 0; i < candidates.size(); ++i) {
-            if (!tried[i]) open.push_back(i);
+            if (!tried[i]) untried.push_back(i);
         }
-        if (open.empty()) return std::nullopt;
-        return open[std::uniform_int_distribution<std::size_t>(0, open.size() - 1)(*random)];
+        if (untried.empty()) return std::nullopt;
+        return untried[std::uniform_int_distribution<std::size_t>(0, untried.size() - 1)(*random)];
     };
 }
 
@@ -117,25 +117,25 @@
     auto random = std::make_shared<std::mt19937_64>(seed);
     return [&tracker, random](std::vector<replica> const& candidates, std::vector<bool> const& tried,
                               time_point now) -> std::optional<std::size_t> {
-        std::vector<std::size_t> open;
+        std::vector<std::size_t> untried;
         bool any_healthy = false;
         for (std::size_t i = 0; i < candidates.size(); ++i) {
-            if (tried[i] || !tracker.takes_work(candidates[i], now)) continue;
-            open.push_back(i);
+            if (tried[i] || !tracker.accepts_requests(candidates[i], now)) continue;
+            untried.push_back(i);
             any_healthy = any_healthy || tracker.healthy(candidates[i], now);
         }
-        if (any_healthy) std::erase_if(open, [&](std::size_t i) { return !tracker.healthy(candidates[i], now); });
-        if (open.empty()) return std::nullopt;
-        std::vector<double> costs;
-        for (auto i : open)
-            costs.push_back(tracker.expected_wait_us(candidates[i], now));
-        double const limit = *std::min_element(costs.begin(), costs.end()) * near_factor;
+        if (any_healthy) std::erase_if(untried, [&](std::size_t i) { return !tracker.healthy(candidates[i], now); });
+        if (untried.empty()) return std::nullopt;
+        std::vector<double> waits;
+        for (auto i : untried)
+            waits.push_back(tracker.expected_wait_us(candidates[i], now));
+        double const limit = *std::min_element(waits.begin(), waits.end()) * wait_tolerance;
         // Entry nodes see the same back ends: a random choice among near equals keeps them from all picking one.
-        std::vector<std::size_t> near;
-        for (std::size_t i = 0; i < open.size(); ++i) {
-            if (costs[i] <= limit) near.push_back(open[i]);
+        std::vector<std::size_t> nearly_equal;
+        for (std::size_t i = 0; i < untried.size(); ++i) {
+            if (waits[i] <= limit) nearly_equal.push_back(untried[i]);
         }
-        return near[(*random)() % near.size()];
+        return nearly_equal[(*random)() % nearly_equal.size()];
     };
 }
 
--- a/src/coordination/config_watcher.cpp
+++ b/src/coordination/config_watcher.cpp
@@ -7,7 +7,7 @@
 /** Longest a single watch call waits for a change. */
 constexpr milliseconds watch_wait{3000};
 /** The wait after a failure lies between one and two retry delays, in this many steps. */
-constexpr int spread_steps = 64;
+constexpr int jitter_steps = 64;
 
 } // namespace
 
@@ -72,7 +72,7 @@
             LOG4CPLUS_WARN(logger, "store watch failed: " << failure.what());
             // Once synced, the watch goes on from where it was: after an outage no fleet reads everything at once.
             // The wait is spread so that its calls do not come at one moment either.
-            auto const until = clock::now() + m_retry_delay + m_retry_delay * (random() % spread_steps) / spread_steps;
+            auto const until = clock::now() + m_retry_delay + m_retry_delay * (random() % jitter_steps) / jitter_steps;
             while (!m_stopping && clock::now() < until)
                 std::this_thread::sleep_for(milliseconds(20));
         }
--- a/src/coordination/membership.cpp
+++ b/src/coordination/membership.cpp
@@ -40,10 +40,10 @@
 void membership::run()
 {
     // Heartbeat three times per lease period, so that two lost heartbeats in a row do not lapse it.
-    auto const period = std::chrono::duration_cast<milliseconds>(std::chrono::seconds(m_ttl_s)) / 3;
-    auto next = clock::now();
+    auto const heartbeat_period = std::chrono::duration_cast<milliseconds>(std::chrono::seconds(m_ttl_s)) / 3;
+    auto next_heartbeat = clock::now();
     while (!m_stopping) {
-        if (clock::now() >= next) {
+        if (clock::now() >= next_heartbeat) {
             try {
                 if (!m_registered) {
                     register_self();
@@ -59,7 +59,7 @@
                     m_registered = false;
                 }
             }
-            next = clock::now() + period;
+            next_heartbeat = clock::now() + heartbeat_period;
         }
         std::this_thread::sleep_for(milliseconds(20));
     }
--- a/src/coordination/scatter_gather.cpp
+++ b/src/coordination/scatter_gather.cpp
@@ -7,11 +7,11 @@
 namespace {
 
 /** Seconds a caller is told to wait when no shard could answer. */
-constexpr int no_answer_retry_after_s = 1;
+constexpr int no_response_retry_after_s = 1;
 /** Hedge delays after which a query's shards are hedged however many are open. */
-constexpr int hedge_patience = 4;
+constexpr int hedge_all_after_delays = 4;
 /** Open shards that may always be hedged, however few the query has. */
-constexpr std::size_t hedge_tail_minimum = 4;
+constexpr std::size_t min_hedge_tail = 4;
 
 using std::chrono::microseconds;
 
@@ -22,7 +22,7 @@
     std::int32_t number = 0;   ///< Number of the request within its shard.
     std::size_t candidate = 0; ///< Replica it went to.
     call_id call;              ///< Transport call.
-    time_point sent;           ///< When it was sent.
+    time_point sent_at;        ///< When it was sent.
 };
 
 /** Per-query state; touched only on the client thread. */
@@ -31,13 +31,13 @@
     struct shard_slot {
         std::vector<replica> const* candidates = nullptr; ///< Replicas holding the pinned version.
         std::vector<bool> tried;                          ///< Which were tried in this round.
-        std::vector<attempt> open;                        ///< Requests not yet ended.
+        std::vector<attempt> open_attempts;               ///< Requests not yet ended.
         std::int32_t tries = 0;                           ///< First try and retries.
         std::int32_t hedges = 0;                          ///< Requests sent while another was open.
-        bool waiting = false;                             ///< A later retry is scheduled.
-        bool may_repeat = false;                          ///< A replica failed in a way that may pass.
-        bool settled = false;                             ///< Answered, or given up.
-        bool answered = false;                            ///< Its hits are in.
+        bool retry_scheduled = false;                     ///< A later retry is scheduled.
+        bool retryable = false;                           ///< A replica failed in a way that may pass.
+        bool finished = false;                            ///< Answered, or given up.
+        bool responded = false;                           ///< Its hits are in.
         std::int64_t version = 0;                         ///< Index version its hits come from.
         std::vector<hit> hits;                            ///< Its hits.
     };
@@ -47,11 +47,11 @@
     std::shared_ptr<config_snapshot const> snapshot; ///< Configuration routed by.
     std::int64_t version = 0;                        ///< Pinned index version.
     std::uint64_t generation = 0;                    ///< Raised when the query starts over.
-    time_point begun;                                ///< When its shards were first sent.
+    time_point started_at;                           ///< When its shards were first sent.
     time_point deadline;                             ///< When the answer is due.
     std::vector<shard_slot> shards;                  ///< Shards by number.
-    std::size_t unsettled = 0;                       ///< Shards not yet settled.
-    bool version_missing = false;                    ///< A replica no longer held the pinned version.
+    std::size_t unfinished_shards = 0;               ///< Shards not yet settled.
+    bool version_retired = false;                    ///< A replica no longer held the pinned version.
     gather_result counts;                            ///< Counters of the result.
     bool finished = false;                           ///< done was called.
     std::function<void(gather_result)> done;         ///< Result sink.
@@ -87,12 +87,12 @@
 void scatter_gather::start(state_ptr const& state, std::shared_ptr<config_snapshot const> snapshot)
 {
     state->snapshot = std::move(snapshot);
-    state->begun = clock::now();
+    state->started_at = clock::now();
     auto const& service = state->snapshot->services.at(state->query.service);
     state->version = service.index_version;
-    state->version_missing = false;
+    state->version_retired = false;
     state->shards.assign(static_cast<std::size_t>(service.shards), {});
-    state->unsettled = state->shards.size();
+    state->unfinished_shards = state->shards.size();
     std::uint64_t const generation = ++state->generation;
     for (std::size_t shard = 0; shard < state->shards.size(); ++shard) {
         auto& slot = state->shards[shard];
@@ -103,12 +103,12 @@
     m_retry_budget.earn(state->shards.size());
     m_hedge_budget.earn(state->shards.size());
     for (std::size_t shard = 0; shard < state->shards.size(); ++shard) {
-        if (!send_shard(state, shard)) settle(state, shard);
+        if (!send_shard(state, shard)) finish_shard(state, shard);
     }
-    maybe_finish(state);
+    finish_if_complete(state);
     if (state->finished || !m_options.hedge) return;
     m_client.run_at(clock::now() + hedge_delay(state->query.service),
-                    [this, state, generation] { hedge_slow(state, generation); });
+                    [this, state, generation] { hedge_slow_shards(state, generation); });
 }
 
 bool scatter_gather::send_shard(state_ptr const& state, std::size_t shard)
@@ -116,19 +116,19 @@
     auto& slot = state->shards[shard];
     auto const now = clock::now();
     if (slot.tries >= m_options.max_tries_per_shard || now >= state->deadline) return false;
-    auto const pick = m_chooser(*slot.candidates, slot.tried, now);
-    if (!pick) return false;
+    auto const candidate = m_chooser(*slot.candidates, slot.tried, now);
+    if (!candidate) return false;
     ++slot.tries;
-    dispatch(state, shard, *pick, now);
+    send_attempt(state, shard, *candidate, now);
     return true;
 }
 
-void scatter_gather::dispatch(state_ptr const& state, std::size_t shard, std::size_t pick, time_point now)
+void scatter_gather::send_attempt(state_ptr const& state, std::size_t shard, std::size_t candidate, time_point now)
 {
     auto& slot = state->shards[shard];
-    slot.tried[pick] = true;
+    slot.tried[candidate] = true;
     std::int32_t const number = slot.tries + slot.hedges;
-    ++state->counts.dispatched;
+    ++state->counts.attempts;
     auto const left = std::chrono::duration_cast<milliseconds>(state->deadline - now);
     shard_query message;
     message.request_id = state->query.request_id;
@@ -139,14 +139,14 @@
     message.k = state->query.k;
     message.deadline_ms = std::max<std::int64_t>(1, left.count());
     auto request = json_post(paths::shard_search, nlohmann::json(message).dump());
-    auto const& target = (*slot.candidates)[pick];
+    auto const& target = (*slot.candidates)[candidate];
     m_tracker.on_sent(target.name);
     auto const call =
         m_client.submit(target.address, std::move(request), std::max(left, milliseconds(1)),
                         [this, state, generation = state->generation, shard, number](client_result result) {
                             on_result(state, generation, shard, number, std::move(result));
                         });
-    slot.open.push_back({number, pick, call, now});
+    slot.open_attempts.push_back({number, candidate, call, now});
 }
 
 void scatter_gather::on_result(state_ptr const& state, std::uint64_t generation, std::size_t shard, std::int32_t number,
@@ -156,45 +156,45 @@
     if (state->finished || generation != state->generation) return;
     auto& slot = state->shards[shard];
     auto const now = clock::now();
-    auto const found = std::find_if(slot.open.begin(), slot.open.end(),
+    auto const found = std::find_if(slot.open_attempts.begin(), slot.open_attempts.end(),
                                     [number](attempt const& item) { return item.number == number; });
-    if (found == slot.open.end()) return;
-    std::size_t const pick = found->candidate;
-    auto const took = std::chrono::duration_cast<microseconds>(now - found->sent);
-    slot.open.erase(found);
-    if (result.outcome != send_outcome::not_sent) ++state->counts.reached;
-    auto const& target = (*slot.candidates)[pick];
-    bool const answered = result.outcome == send_outcome::answered && result.response.status == 200;
-    if (answered && accept_answer(*state, shard, result.response.body)) {
-        m_tracker.on_finished(target.name, attempt_outcome::succeeded, took, now);
-        m_latencies[state->query.service].add(took);
-        settle(state, shard);
-        maybe_finish(state);
+    if (found == slot.open_attempts.end()) return;
+    std::size_t const candidate = found->candidate;
+    auto const elapsed = std::chrono::duration_cast<microseconds>(now - found->sent_at);
+    slot.open_attempts.erase(found);
+    if (result.outcome != send_outcome::not_sent) ++state->counts.sent;
+    auto const& target = (*slot.candidates)[candidate];
+    bool const responded = result.outcome == send_outcome::answered && result.response.status == 200;
+    if (responded && accept_response(*state, shard, result.response.body)) {
+        m_tracker.on_finished(target.name, attempt_outcome::succeeded, elapsed, now);
+        m_latencies[state->query.service].add(elapsed);
+        finish_shard(state, shard);
+        finish_if_complete(state);
         return;
     }
     auto const failure = classify_failure(result);
     if (failure == attempt_outcome::not_held) {
-        state->version_missing = true;
+        state->version_retired = true;
     } else {
-        slot.may_repeat = true;
+        slot.retryable = true;
     }
-    m_tracker.on_finished(target.name, failure, took, now);
-    if (slot.open.empty()) retry_shard(state, shard);
+    m_tracker.on_finished(target.name, failure, elapsed, now);
+    if (slot.open_attempts.empty()) retry_shard(state, shard);
 }
 
-bool scatter_gather::accept_answer(query_state& state, std::size_t shard, std::string const& body)
+bool scatter_gather::accept_response(query_state& state, std::size_t shard, std::string const& body)
 {
     try {
-        auto answer = parse_message<shard_answer>(body, "shard answer");
+        auto response = parse_message<shard_answer>(body, "shard answer");
         // An answer counts only if it is for this request, this shard and the pinned version.
-        bool const own = answer.request_id == state.query.request_id &&
-                         answer.shard == static_cast<std::int32_t>(shard) && answer.index_version == state.version &&
-                         answer.service == state.query.service;
-        if (!own) return false;
+        bool const matches = response.request_id == state.query.request_id &&
+                             response.shard == static_cast<std::int32_t>(shard) &&
+                             response.index_version == state.version && response.service == state.query.service;
+        if (!matches) return false;
         auto& slot = state.shards[shard];
-        slot.hits = std::move(answer.hits);
-        slot.version = answer.index_version;
-        slot.answered = true;
+        slot.hits = std::move(response.hits);
+        slot.version = response.index_version;
+        slot.responded = true;
         return true;
     } catch (error const&) {
         return false; // A malformed answer is no answer: the shard is tried on another replica.
@@ -207,8 +207,8 @@
     auto const now = clock::now();
     bool const allowed = slot.tries < m_options.max_tries_per_shard && now < state->deadline;
     if (!allowed || !m_retry_budget.spend()) {
-        settle(state, shard);
-        maybe_finish(state);
+        finish_shard(state, shard);
+        finish_if_complete(state);
         return;
     }
     if (send_shard(state, shard)) {
@@ -216,131 +216,131 @@
         return;
     }
     // Every replica was tried. One that shed or lost a connection may serve a moment later.
-    auto const again = now + m_options.retry_backoff * slot.tries;
-    if (!slot.may_repeat || again >= state->deadline) {
-        settle(state, shard);
-        maybe_finish(state);
+    auto const retry_at = now + m_options.retry_backoff * slot.tries;
+    if (!slot.retryable || retry_at >= state->deadline) {
+        finish_shard(state, shard);
+        finish_if_complete(state);
         return;
     }
-    slot.waiting = true;
-    m_client.run_at(again, [this, state, shard, generation = state->generation] {
+    slot.retry_scheduled = true;
+    m_client.run_at(retry_at, [this, state, shard, generation = state->generation] {
         if (state->finished || generation != state->generation) return;
         auto& later = state->shards[shard];
-        later.waiting = false;
+        later.retry_scheduled = false;
         later.tried.assign(later.tried.size(), false);
         if (send_shard(state, shard)) {
             ++state->counts.retries;
             return;
         }
-        settle(state, shard);
-        maybe_finish(state);
+        finish_shard(state, shard);
+        finish_if_complete(state);
     });
 }
 
 microseconds scatter_gather::hedge_delay(std::string const& service)
 {
     auto const observed = m_latencies[service].quantile(m_options.hedge_quantile);
-    return std::max<microseconds>(m_options.hedge_min, observed.value_or(m_options.hedge_initial));
+    return std::max<microseconds>(m_options.min_hedge_delay, observed.value_or(m_options.initial_hedge_delay));
 }
 
-void scatter_gather::hedge_slow(state_ptr const& state, std::uint64_t generation)
+void scatter_gather::hedge_slow_shards(state_ptr const& state, std::uint64_t generation)
 {
     if (state->finished || generation != state->generation) return;
     auto const now = clock::now();
     auto const delay = hedge_delay(state->query.service);
-    m_client.run_at(now + delay, [this, state, generation] { hedge_slow(state, generation); });
+    m_client.run_at(now + delay, [this, state, generation] { hedge_slow_shards(state, generation); });
     // While many shards are open the whole query is late, not a few stragglers: hedging all of them would spend the
     // budget that the stragglers will need. If it stays so, many back ends are in trouble, and hedging begins.
     auto const tail = static_cast<std::size_t>(m_options.hedge_tail_share * static_cast<double>(state->shards.size()));
-    bool const just_begun = now - state->begun < delay * hedge_patience;
-    if (just_begun && state->unsettled > std::max(hedge_tail_minimum, tail)) return;
+    bool const recently_started = now - state->started_at < delay * hedge_all_after_delays;
+    if (recently_started && state->unfinished_shards > std::max(min_hedge_tail, tail)) return;
     for (std::size_t shard = 0; shard < state->shards.size(); ++shard) {
         auto& slot = state->shards[shard];
-        if (slot.settled || slot.open.empty() || now - slot.open.back().sent < delay) continue;
+        if (slot.finished || slot.open_attempts.empty() || now - slot.open_attempts.back().sent_at < delay) continue;
         if (slot.hedges >= m_options.max_hedges_per_shard) continue;
-        // A replica that is already at work on the shard is not asked again, unless every one is.
-        std::vector<bool> at_work(slot.candidates->size(), false);
-        for (auto const& item : slot.open)
-            at_work[item.candidate] = true;
-        if (slot.open.size() >= at_work.size()) at_work.assign(at_work.size(), false);
-        auto const pick = m_chooser(*slot.candidates, at_work, now);
-        if (!pick) continue;
+        // A replica that is already at work on the shard is not asked retry_at, unless every one is.
+        std::vector<bool> in_flight(slot.candidates->size(), false);
+        for (auto const& item : slot.open_attempts)
+            in_flight[item.candidate] = true;
+        if (slot.open_attempts.size() >= in_flight.size()) in_flight.assign(in_flight.size(), false);
+        auto const candidate = m_chooser(*slot.candidates, in_flight, now);
+        if (!candidate) continue;
         if (!m_hedge_budget.spend()) break;
         ++slot.hedges;
-        dispatch(state, shard, *pick, now);
+        send_attempt(state, shard, *candidate, now);
         ++state->counts.hedges;
     }
 }
 
-void scatter_gather::cancel_rest(query_state& state, std::size_t shard, time_point now)
+void scatter_gather::cancel_open_attempts(query_state& state, std::size_t shard, time_point now)
 {
     auto& slot = state.shards[shard];
-    for (auto const& item : slot.open) {
+    for (auto const& item : slot.open_attempts) {
         m_client.cancel(item.call);
-        ++state.counts.reached; // it may have been sent
-        auto const ran = std::chrono::duration_cast<microseconds>(now - item.sent);
-        m_tracker.on_finished((*slot.candidates)[item.candidate].name, attempt_outcome::canceled, ran, now);
+        ++state.counts.sent; // it may have been sent
+        auto const elapsed = std::chrono::duration_cast<microseconds>(now - item.sent_at);
+        m_tracker.on_finished((*slot.candidates)[item.candidate].name, attempt_outcome::canceled, elapsed, now);
     }
-    slot.open.clear();
+    slot.open_attempts.clear();
 }
 
-void scatter_gather::settle(state_ptr const& state, std::size_t shard)
+void scatter_gather::finish_shard(state_ptr const& state, std::size_t shard)
 {
     auto& slot = state->shards[shard];
-    if (slot.settled) return;
-    slot.settled = true;
-    --state->unsettled;
-    cancel_rest(*state, shard, clock::now());
+    if (slot.finished) return;
+    slot.finished = true;
+    --state->unfinished_shards;
+    cancel_open_attempts(*state, shard, clock::now());
 }
 
-bool scatter_gather::repin(state_ptr const& state)
+bool scatter_gather::restart_at_current_version(state_ptr const& state)
 {
-    if (!state->version_missing || !m_current || clock::now() >= state->deadline) return false;
-    auto fresh = m_current();
-    auto const service = fresh->services.find(state->query.service);
-    if (service == fresh->services.end() || service->second.index_version == state->version) return false;
-    start(state, std::move(fresh));
+    if (!state->version_retired || !m_current || clock::now() >= state->deadline) return false;
+    auto current = m_current();
+    auto const service = current->services.find(state->query.service);
+    if (service == current->services.end() || service->second.index_version == state->version) return false;
+    start(state, std::move(current));
     return true;
 }
 
-void scatter_gather::maybe_finish(state_ptr const& state)
+void scatter_gather::finish_if_complete(state_ptr const& state)
 {
-    if (state->finished || state->unsettled > 0) return;
-    query_answer answer;
-    answer.request_id = state->query.request_id;
-    answer.service = state->query.service;
-    answer.index_version = state->version;
-    answer.shards_total = static_cast<std::int32_t>(state->shards.size());
+    if (state->finished || state->unfinished_shards > 0) return;
+    query_answer response;
+    response.request_id = state->query.request_id;
+    response.service = state->query.service;
+    response.index_version = state->version;
+    response.shards_total = static_cast<std::int32_t>(state->shards.size());
     std::vector<std::vector<hit>> lists;
     for (std::size_t shard = 0; shard < state->shards.size(); ++shard) {
         auto& slot = state->shards[shard];
-        if (!slot.answered) {
-            answer.missing.push_back(static_cast<std::int32_t>(shard));
+        if (!slot.responded) {
+            response.missing.push_back(static_cast<std::int32_t>(shard));
             continue;
         }
         check_invariant(slot.version == state->version, "one snapshot: every shard answered at the pinned version");
-        ++answer.shards_answered;
+        ++response.shards_answered;
         lists.push_back(std::move(slot.hits));
     }
-    if (!answer.missing.empty() && repin(state)) return;
+    if (!response.missing.empty() && restart_at_current_version(state)) return;
     state->finished = true;
-    answer.coverage =
-        answer.shards_total == 0 ? 0.0 : static_cast<double>(answer.shards_answered) / answer.shards_total;
-    answer.hits = merge_top_k(lists, static_cast<std::size_t>(state->query.k));
+    response.coverage =
+        response.shards_total == 0 ? 0.0 : static_cast<double>(response.shards_answered) / response.shards_total;
+    response.hits = merge_top_k(lists, static_cast<std::size_t>(state->query.k));
     gather_result result = std::move(state->counts);
-    check_invariant(result.reached <= result.dispatched, "requests that reached back ends were dispatched");
-    if (answer.shards_answered > 0) {
-        result.answer = std::move(answer);
-    } else if (result.reached == 0) {
+    check_invariant(result.sent <= result.attempts, "requests that reached back ends were dispatched");
+    if (response.shards_answered > 0) {
+        result.response = std::move(response);
+    } else if (result.sent == 0) {
         // Every request failed before a byte of it left this process, so no back end ran the query.
         result.failure =
             error(error_kind::not_run, "no replica of '" + state->query.service + "' could take the query.",
                   "Come back after the time in Retry-After; the query did not run.");
-        result.retry_after_s = no_answer_retry_after_s;
+        result.retry_after_s = no_response_retry_after_s;
     } else {
         result.failure = error(error_kind::unavailable, "no shard of '" + state->query.service + "' answered in time.",
                                "Come back after the time in Retry-After.");
-        result.retry_after_s = no_answer_retry_after_s;
+        result.retry_after_s = no_response_retry_after_s;
     }
     state->done(std::move(result));
 }
--- a/src/coordination/store_client.cpp
+++ b/src/coordination/store_client.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 /** Extra time a watch call is given beyond its wait, so the store answers before the client gives up. */
-constexpr milliseconds watch_slack{2000};
+constexpr milliseconds watch_timeout_margin{2000};
 
 /** @return the error kind for an HTTP status from the store. */
 error_kind kind_for_status(int status)
@@ -19,10 +19,10 @@
     }
 }
 
-/** @return the cluster in the header of @p answer. */
-cluster_id cluster_of(nlohmann::json const& answer)
+/** @return the cluster in the header of @p response. */
+cluster_id cluster_of(nlohmann::json const& response)
 {
-    return cluster_id(answer.at("header").value("cluster_id", std::string()));
+    return cluster_id(response.at("header").value("cluster_id", std::string()));
 }
 
 } // namespace
@@ -45,36 +45,36 @@
                     "no reply from the store at " + m_store.to_string() + " (" + result.detail + ").",
                     "Read the key back before repeating a write; it may have taken effect.");
     }
-    auto answer = nlohmann::json::parse(result.response.body, nullptr, false);
+    auto response = nlohmann::json::parse(result.response.body, nullptr, false);
     if (result.response.status != 200) {
         std::string const message =
-            answer.is_object() ? answer.value("message", result.response.body) : result.response.body;
+            response.is_object() ? response.value("message", result.response.body) : result.response.body;
         std::string const remedy =
-            answer.is_object() ? answer.value("remedy", std::string("Try again later.")) : "Try again later.";
+            response.is_object() ? response.value("remedy", std::string("Try again later.")) : "Try again later.";
         throw error(kind_for_status(result.response.status), "store: " + message, remedy);
     }
-    if (answer.is_discarded()) {
+    if (response.is_discarded()) {
         throw error(error_kind::internal, "the store sent a body that is not JSON.", "Check the store's version.");
     }
-    return answer;
+    return response;
 }
 
 range_result store_client::range_prefix(std::string const& prefix)
 {
-    auto const answer =
+    auto const response =
         call(store_paths::range, {{"key", base64_encode(prefix)}, {"range_end", base64_encode(prefix_end(prefix))}},
              m_timeout);
-    return {answer.value("kvs", nlohmann::json::array()).get<std::vector<key_value>>(),
-            json_int64(answer.at("header").at("revision")), cluster_of(answer)};
+    return {response.value("kvs", nlohmann::json::array()).get<std::vector<key_value>>(),
+            json_int64(response.at("header").at("revision")), cluster_of(response)};
 }
 
 std::pair<std::optional<key_value>, std::int64_t> store_client::get(std::string const& key)
 {
-    auto const answer = call(store_paths::range, {{"key", base64_encode(key)}}, m_timeout);
-    auto const kvs = answer.value("kvs", nlohmann::json::array()).get<std::vector<key_value>>();
+    auto const response = call(store_paths::range, {{"key", base64_encode(key)}}, m_timeout);
+    auto const kvs = response.value("kvs", nlohmann::json::array()).get<std::vector<key_value>>();
     std::optional<key_value> found;
     if (!kvs.empty()) found = kvs.front();
-    return {found, json_int64(answer.at("header").at("revision"))};
+    return {found, json_int64(response.at("header").at("revision"))};
 }
 
 std::int64_t store_client::put(std::string const& key, std::string const& value, std::int64_t lease)
@@ -86,39 +86,39 @@
 
 txn_result store_client::txn(txn_request const& request)
 {
-    auto const answer = call(store_paths::txn, nlohmann::json(request), m_timeout);
+    auto const response = call(store_paths::txn, nlohmann::json(request), m_timeout);
     txn_result result;
-    result.succeeded = answer.value("succeeded", false);
-    result.revision = json_int64(answer.at("header").at("revision"));
-    for (auto const& response : answer.value("responses", nlohmann::json::array())) {
-        if (!response.contains("response_range")) continue;
-        auto kvs = response["response_range"].value("kvs", nlohmann::json::array()).get<std::vector<key_value>>();
+    result.succeeded = response.value("succeeded", false);
+    result.revision = json_int64(response.at("header").at("revision"));
+    for (auto const& operation : response.value("responses", nlohmann::json::array())) {
+        if (!operation.contains("response_range")) continue;
+        auto kvs = operation["response_range"].value("kvs", nlohmann::json::array()).get<std::vector<key_value>>();
         result.range_kvs.insert(result.range_kvs.end(), kvs.begin(), kvs.end());
     }
     return result;
 }
 
 txn_result store_client::compare_and_swap(std::string const& key, std::int64_t expected, std::string const& value,
-                                          int tries)
+                                          int max_attempts)
 {
     txn_request request;
     request.compares.push_back({key, compare_target::mod_revision, expected, ""});
     request.success.push_back({txn_op::kind::put, key, "", value, 0});
     request.failure.push_back({txn_op::kind::range, key, "", "", 0});
-    bool maybe_written = false;
+    bool may_have_been_written = false;
     while (true) {
         txn_result result;
         try {
             result = txn(request);
         } catch (error const& failure) {
-            maybe_written = maybe_written || failure.kind() == error_kind::outcome_unknown;
-            bool const may_pass = failure.kind() == error_kind::outcome_unknown ||
-                                  failure.kind() == error_kind::not_run || failure.kind() == error_kind::unavailable;
-            if (may_pass && --tries > 0) continue;
-            if (!maybe_written) throw;
+            may_have_been_written = may_have_been_written || failure.kind() == error_kind::outcome_unknown;
+            bool const retryable = failure.kind() == error_kind::outcome_unknown ||
+                                   failure.kind() == error_kind::not_run || failure.kind() == error_kind::unavailable;
+            if (retryable && --max_attempts > 0) continue;
+            if (!may_have_been_written) throw;
             throw error(error_kind::outcome_unknown, failure.message(), "Read " + key + " back before writing again.");
         }
-        if (result.succeeded || !maybe_written) return result;
+        if (result.succeeded || !may_have_been_written) return result;
         // An earlier write of ours, whose reply was lost, may be what changed the key.
         auto const& kvs = result.range_kvs;
         if (kvs.empty() || kvs.front().value != value) {
@@ -134,8 +134,8 @@
 
 granted_lease store_client::grant_lease(std::int64_t ttl_s)
 {
-    auto const answer = call(store_paths::lease_grant, {{"TTL", std::to_string(ttl_s)}, {"ID", "0"}}, m_timeout);
-    return {json_int64(answer.at("ID")), cluster_of(answer)};
+    auto const response = call(store_paths::lease_grant, {{"TTL", std::to_string(ttl_s)}, {"ID", "0"}}, m_timeout);
+    return {json_int64(response.at("ID")), cluster_of(response)};
 }
 
 cluster_id store_client::keep_alive(std::int64_t lease)
@@ -155,8 +155,8 @@
                           {"range_end", base64_encode(prefix_end(prefix))},
                           {"start_revision", std::to_string(after + 1)}}},
                         {"progress_timeout_ms", wait.count()}};
-    auto const answer = call(store_paths::watch, body, wait + watch_slack);
-    auto const& result = answer.at("result");
+    auto const response = call(store_paths::watch, body, wait + watch_timeout_margin);
+    auto const& result = response.at("result");
     watch_batch batch;
     batch.revision = json_int64(result.at("header").at("revision"));
     batch.cluster = cluster_of(result);
--- a/src/coordination/vm_list_watcher.cpp
+++ b/src/coordination/vm_list_watcher.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 /** How often the task looks whether it should stop. */
-constexpr milliseconds stop_check{20};
+constexpr milliseconds stop_check_interval{20};
 
 } // namespace
 
@@ -13,13 +13,13 @@
     : m_client(client), m_tracker(tracker), m_options(std::move(options))
 {
     m_thread = std::thread([this] {
-        auto next = clock::now();
+        auto next_read = clock::now();
         while (!m_stopping) {
-            if (clock::now() >= next) {
+            if (clock::now() >= next_read) {
                 read_once();
-                next = clock::now() + m_options.interval;
+                next_read = clock::now() + m_options.interval;
             }
-            std::this_thread::sleep_for(stop_check);
+            std::this_thread::sleep_for(stop_check_interval);
         }
     });
 }
@@ -34,9 +34,9 @@
 {
     http_request request;
     request.path = paths::vms;
-    auto const reply = m_client.call(m_options.address, std::move(request), m_options.timeout);
-    if (reply.outcome != send_outcome::answered || reply.response.status != 200) return; // keep what is known
-    auto const body = nlohmann::json::parse(reply.response.body, nullptr, false);
+    auto const result = m_client.call(m_options.address, std::move(request), m_options.timeout);
+    if (result.outcome != send_outcome::answered || result.response.status != 200) return; // keep what is known
+    auto const body = nlohmann::json::parse(result.response.body, nullptr, false);
     if (!body.is_object()) return;
     std::set<std::string> leaving;
     for (auto const& vm : body.value("vms", nlohmann::json::array())) {
--- a/src/coordination/write_coordinator.cpp
+++ b/src/coordination/write_coordinator.cpp
@@ -46,16 +46,16 @@
 struct write_coordinator::claim_result {
     bool owned = false;                   ///< The key is ours: the request may be sent.
     std::optional<write_record> existing; ///< Record of an earlier submission.
-    bool gave_up = false;                 ///< The store did not answer in time; nothing may be sent.
+    bool timed_out = false;               ///< The store did not answer in time; nothing may be sent.
     std::string value;                    ///< The record as written, when owned.
 };
 
 /** How the back ends dealt with a claimed request. */
 struct write_coordinator::dispatch_result {
-    std::optional<write_answer> answer; ///< It ran.
-    bool maybe_ran = false;             ///< It was sent and no final answer came.
-    bool expired = false;               ///< The deadline passed before anything was sent.
-    bool reached = false;               ///< Some back end received it (and refused it, unless maybe_ran).
+    std::optional<write_answer> response; ///< It ran.
+    bool may_have_run = false;            ///< It was sent and no final answer came.
+    bool expired = false;                 ///< The deadline passed before anything was sent.
+    bool reached = false;                 ///< Some back end received it (and refused it, unless may_have_run).
 };
 
 write_coordinator::write_coordinator(store_client& store, h2_client& client, replica_chooser chooser,
@@ -64,8 +64,8 @@
       m_options(std::move(options)), m_random(std::random_device{}())
 {
     for (std::size_t i = 0; i < m_options.workers; ++i)
-        m_workers.emplace_back([this] { work(); });
-    m_recorder = std::thread([this] { record_later(); });
+        m_workers.emplace_back([this] { run_worker(); });
+    m_recorder = std::thread([this] { run_recorder(); });
 }
 
 write_coordinator::~write_coordinator()
@@ -102,13 +102,13 @@
     done(not_run("this entry node has too many writes waiting"));
 }
 
-std::size_t write_coordinator::unrecorded() const
+std::size_t write_coordinator::pending_record_updates() const
 {
     std::lock_guard lock(m_mutex);
     return m_updates.size();
 }
 
-void write_coordinator::work()
+void write_coordinator::run_worker()
 {
     while (true) {
         std::unique_lock lock(m_mutex);
@@ -121,12 +121,12 @@
     }
 }
 
-void write_coordinator::step(write_step where) const
+void write_coordinator::run_step_hook(write_step where) const
 {
-    if (m_options.at_step) m_options.at_step(where);
+    if (m_options.on_step) m_options.on_step(where);
 }
 
-std::string write_coordinator::new_claim()
+std::string write_coordinator::new_claim_id()
 {
     std::lock_guard lock(m_mutex);
     return m_options.owner + "/" + std::to_string(m_random());
@@ -135,52 +135,52 @@
 write_result write_coordinator::execute(job& task)
 {
     auto const& request = task.request;
-    write_record mine;
-    mine.claim = new_claim();
-    mine.owner = m_options.owner;
-    mine.fingerprint = request_fingerprint(request);
+    write_record own_record;
+    own_record.claim = new_claim_id();
+    own_record.owner = m_options.owner;
+    own_record.fingerprint = request_fingerprint(request);
     std::string const key = std::string(write_prefix) + request.service + "/" + request.idempotency_key;
-    step(write_step::before_claim);
-    auto const claimed = claim(key, mine, task.deadline);
-    if (claimed.gave_up) return not_run("the platform store does not answer");
+    run_step_hook(write_step::before_claim);
+    auto const claimed = claim(key, own_record, task.deadline);
+    if (claimed.timed_out) return not_run("the platform store does not answer");
     if (claimed.existing) return replay(*claimed.existing, request);
-    auto release = [&] {
-        write_record released = mine;
+    auto release_claim = [&] {
+        write_record released = own_record;
         released.state = write_state::released;
         update_record({key, claimed.value, nlohmann::json(released).dump()});
     };
-    step(write_step::before_dispatch);
-    auto const sent = dispatch(task);
-    step(write_step::before_record);
-    if (sent.answer) {
-        mine.state = write_state::done;
-        mine.result = sent.answer->result;
-        mine.backend = sent.answer->backend;
-        update_record({key, claimed.value, nlohmann::json(mine).dump()});
+    run_step_hook(write_step::before_dispatch);
+    auto const dispatched = dispatch(task);
+    run_step_hook(write_step::before_record);
+    if (dispatched.response) {
+        own_record.state = write_state::done;
+        own_record.result = dispatched.response->result;
+        own_record.backend = dispatched.response->backend;
+        update_record({key, claimed.value, nlohmann::json(own_record).dump()});
         write_result result;
-        result.answer = sent.answer;
+        result.response = dispatched.response;
         return result;
     }
-    if (sent.maybe_ran) {
-        mine.state = write_state::unknown;
-        update_record({key, claimed.value, nlohmann::json(mine).dump()});
+    if (dispatched.may_have_run) {
+        own_record.state = write_state::unknown;
+        update_record({key, claimed.value, nlohmann::json(own_record).dump()});
         return outcome_unknown("the back end did not confirm the request");
     }
-    release();
-    if (sent.expired) return not_run("the deadline passed before the request was sent");
-    if (!sent.reached) return not_run("no back end of '" + request.service + "' could be reached");
+    release_claim();
+    if (dispatched.expired) return not_run("the deadline passed before the request was sent");
+    if (!dispatched.reached) return not_run("no back end of '" + request.service + "' could be reached");
     return failed(error_kind::unavailable, "every back end of '" + request.service + "' refused the request.",
                   "Send it again with the same idempotency key after the time in Retry-After.");
 }
 
-write_coordinator::claim_result write_coordinator::claim(std::string const& key, write_record const& mine,
+write_coordinator::claim_result write_coordinator::claim(std::string const& key, write_record const& own_record,
                                                          time_point deadline)
 {
     claim_result result;
-    result.value = nlohmann::json(mine).dump();
-    auto const until = std::min(deadline, clock::now() + m_options.claim_wait);
+    result.value = nlohmann::json(own_record).dump();
+    auto const until = std::min(deadline, clock::now() + m_options.claim_timeout);
     std::int64_t expected = 0; // the record must not exist
-    bool maybe_written = false;
+    bool may_have_been_written = false;
     while (clock::now() < until) {
         try {
             txn_request request;
@@ -198,8 +198,8 @@
             }
             auto const& found = outcome.range_kvs.front();
             auto const record = nlohmann::json::parse(found.value).get<write_record>();
-            if (record.claim == mine.claim && record.state == write_state::claimed) {
-                result.owned = true; // an earlier try took effect and its reply was lost
+            if (record.claim == own_record.claim && record.state == write_state::claimed) {
+                result.owned = true; // an earlier try elapsed effect and its reply was lost
                 return result;
             }
             if (record.state != write_state::released) {
@@ -208,7 +208,7 @@
             }
             expected = found.mod_revision;
         } catch (error const& failure) {
-            if (failure.kind() == error_kind::outcome_unknown) maybe_written = true;
+            if (failure.kind() == error_kind::outcome_unknown) may_have_been_written = true;
             if (failure.kind() == error_kind::not_found) {
                 std::lock_guard lock(m_mutex);
                 m_lease = 0; // the retention lease lapsed: take a new one
@@ -216,32 +216,32 @@
             std::this_thread::sleep_for(m_options.retry_delay);
         }
     }
-    result.gave_up = true;
-    if (maybe_written) {
+    result.timed_out = true;
+    if (may_have_been_written) {
         // The claim may be in the store, or may still arrive there. A released record in its place lets the
         // caller's next submission claim the key, and makes a late claim fail its compare.
-        write_record released = mine;
+        write_record released = own_record;
         released.state = write_state::released;
         update_record({key, result.value, nlohmann::json(released).dump()});
     }
     return result;
 }
 
-std::optional<std::size_t> write_coordinator::pick(std::vector<replica> const& candidates,
-                                                   std::vector<bool> const& tried)
+std::optional<std::size_t> write_coordinator::choose_replica(std::vector<replica> const& candidates,
+                                                             std::vector<bool> const& tried)
 {
-    std::promise<std::optional<std::size_t>> picked;
-    auto future = picked.get_future();
-    m_client.post([&] { picked.set_value(m_chooser(candidates, tried, clock::now())); });
+    std::promise<std::optional<std::size_t>> chosen_index;
+    auto future = chosen_index.get_future();
+    m_client.post([&] { chosen_index.set_value(m_chooser(candidates, tried, clock::now())); });
     return future.get();
 }
 
-void write_coordinator::note(std::string const& backend, std::optional<attempt_outcome> outcome,
-                             std::chrono::microseconds took)
+void write_coordinator::update_tracker(std::string const& backend, std::optional<attempt_outcome> outcome,
+                                       std::chrono::microseconds elapsed)
 {
-    m_client.post([this, backend, outcome, took] {
+    m_client.post([this, backend, outcome, elapsed] {
         if (outcome) {
-            m_tracker.on_finished(backend, *outcome, took, clock::now());
+            m_tracker.on_finished(backend, *outcome, elapsed, clock::now());
         } else {
             m_tracker.on_sent(backend);
         }
@@ -256,34 +256,34 @@
     auto const& candidates = task.snapshot->replicas(request.service, shard, service.index_version);
     std::vector<bool> tried(candidates.size(), false);
     dispatch_result result;
-    while (auto const chosen = pick(candidates, tried)) {
+    while (auto const chosen = choose_replica(candidates, tried)) {
         tried[*chosen] = true;
         auto const& target = candidates[*chosen];
-        auto const begun = clock::now();
-        auto const left = std::chrono::duration_cast<milliseconds>(task.deadline - begun);
-        if (left.count() <= 0) {
+        auto const started_at = clock::now();
+        auto const time_left = std::chrono::duration_cast<milliseconds>(task.deadline - started_at);
+        if (time_left.count() <= 0) {
             // The time is read just before each send: a process paused after its claim does not send late.
             result.expired = !result.reached;
             return result;
         }
-        shard_write const message{request.idempotency_key, request.service, shard, request.body, left.count()};
-        note(target.name, std::nullopt, {});
-        auto const reply =
-            m_client.call(target.address, json_post(paths::shard_write, nlohmann::json(message).dump()), left);
-        auto const took = std::chrono::duration_cast<std::chrono::microseconds>(clock::now() - begun);
-        if (reply.outcome == send_outcome::answered && reply.response.status == 200) {
-            note(target.name, attempt_outcome::succeeded, took);
+        shard_write const message{request.idempotency_key, request.service, shard, request.body, time_left.count()};
+        update_tracker(target.name, std::nullopt, {});
+        auto const call_result =
+            m_client.call(target.address, json_post(paths::shard_write, nlohmann::json(message).dump()), time_left);
+        auto const elapsed = std::chrono::duration_cast<std::chrono::microseconds>(clock::now() - started_at);
+        if (call_result.outcome == send_outcome::answered && call_result.response.status == 200) {
+            update_tracker(target.name, attempt_outcome::succeeded, elapsed);
             result.reached = true;
-            result.answer =
-                write_answer{request.idempotency_key, request.service, reply.response.body, target.name, false};
+            result.response =
+                write_answer{request.idempotency_key, request.service, call_result.response.body, target.name, false};
             return result;
         }
-        auto const failure = classify_failure(reply);
-        note(target.name, failure, took);
-        if (reply.outcome == send_outcome::not_sent) continue; // it never left this process: another may run it
+        auto const failure = classify_failure(call_result);
+        update_tracker(target.name, failure, elapsed);
+        if (call_result.outcome == send_outcome::not_sent) continue; // it never left this process: another may run it
         result.reached = true;
         if (failure != attempt_outcome::failed) continue; // refused explicitly: it did not run there
-        result.maybe_ran = true;
+        result.may_have_run = true;
         return result;
     }
     return result;
@@ -297,7 +297,7 @@
     }
     if (record.state == write_state::done) {
         write_result result;
-        result.answer = write_answer{request.idempotency_key, request.service, record.result, record.backend, true};
+        result.response = write_answer{request.idempotency_key, request.service, record.result, record.backend, true};
         return result;
     }
     if (record.state == write_state::claimed) {
@@ -311,12 +311,13 @@
     auto const now = clock::now();
     {
         std::lock_guard lock(m_mutex);
-        if (m_lease != 0 && now < m_lease_renew) return m_lease;
+        if (m_lease != 0 && now < m_lease_renew_at) return m_lease;
     }
     auto const granted = m_store.grant_lease(m_options.retention_s + m_options.retention_s / leases_per_retention).id;
     std::lock_guard lock(m_mutex);
     m_lease = granted;
-    m_lease_renew = now + std::chrono::seconds(std::max<std::int64_t>(1, m_options.retention_s / leases_per_retention));
+    m_lease_renew_at =
+        now + std::chrono::seconds(std::max<std::int64_t>(1, m_options.retention_s / leases_per_retention));
     return m_lease;
 }
 
@@ -348,7 +349,7 @@
     m_update_ready.notify_one();
 }
 
-void write_coordinator::record_later()
+void write_coordinator::run_recorder()
 {
     std::unique_lock lock(m_mutex);
     while (true) {
--- a/src/entry/entry_service.cpp
+++ b/src/entry/entry_service.cpp
@@ -76,49 +76,49 @@
             reply(error_response(error(error_kind::bad_request, path + " takes POST.", "Use POST " + path + ".")));
         } else if (m_draining) {
             (path == paths::query ? m_queries : m_write_outcomes).Add({{"outcome", "draining"}}).Increment();
-            reply(draining_refusal());
+            reply(draining_response());
         } else if (path == paths::query) {
-            query(request, std::move(reply));
+            handle_query(request, std::move(reply));
         } else {
-            write(request, std::move(reply));
+            handle_write(request, std::move(reply));
         }
         return;
     }
     if (path == paths::entries) {
-        reply(entries());
+        reply(entries_response());
         return;
     }
     if (path == paths::health) {
-        reply(health());
+        reply(health_response());
         return;
     }
     if (path == paths::metrics) {
-        reply(metrics_text());
+        reply(metrics_response());
         return;
     }
     reply(error_response(error(error_kind::not_found, "no API at '" + path + "'.",
                                "Use POST /v1/query, POST /v1/writes, GET /v1/entries, /healthz or /metrics.")));
 }
 
-http_response entry_service::draining_refusal()
+http_response entry_service::draining_response()
 {
     auto response = error_response(error(error_kind::not_run, "this entry node is stopping; the request did not run.",
                                          "Send it to another address from 'entries'."),
                                    draining_retry_after_s);
     auto body = nlohmann::json::parse(response.body);
-    body["entries"] = other_entries(false);
+    body["entries"] = entry_addresses(false);
     response.body = body.dump();
     return response;
 }
 
-http_response entry_service::health() const
+http_response entry_service::health_response() const
 {
     nlohmann::json const body{
         {"id", m_config.id}, {"draining", m_draining.load()}, {"config_revision", m_view.current()->revision}};
     return json_response(m_draining ? 503 : 200, body.dump());
 }
 
-http_response entry_service::metrics_text()
+http_response entry_service::metrics_response()
 {
     m_revision.Set(static_cast<double>(m_view.current()->revision));
     m_violations.Set(static_cast<double>(invariant_violations()));
@@ -135,34 +135,35 @@
     return response;
 }
 
-void entry_service::query(http_request const& request, reply_fn reply)
+void entry_service::handle_query(http_request const& request, reply_fn reply)
 {
     auto message = parse_message<query_request>(request.body, "query");
     if (message.request_id.empty()) message.request_id = new_request_id();
-    auto const started = clock::now();
-    m_gather.run(m_view.current(), std::move(message), [this, reply = std::move(reply), started](gather_result result) {
-        m_latency.Observe(std::chrono::duration<double>(clock::now() - started).count());
-        m_shard_requests.Add({{"kind", "first"}}).Increment(result.dispatched - result.retries - result.hedges);
-        m_shard_requests.Add({{"kind", "retry"}}).Increment(result.retries);
-        m_shard_requests.Add({{"kind", "hedge"}}).Increment(result.hedges);
-        if (result.answer) {
-            m_queries.Add({{"outcome", result.answer->missing.empty() ? "whole" : "partial"}}).Increment();
-            m_shards_missing.Increment(static_cast<double>(result.answer->missing.size()));
-            reply(json_response(200, nlohmann::json(*result.answer).dump()));
-            return;
-        }
-        m_queries.Add({{"outcome", to_string(result.failure->kind())}}).Increment();
-        reply(error_response(*result.failure, result.retry_after_s));
-    });
+    auto const started_at = clock::now();
+    m_gather.run(
+        m_view.current(), std::move(message), [this, reply = std::move(reply), started_at](gather_result result) {
+            m_latency.Observe(std::chrono::duration<double>(clock::now() - started_at).count());
+            m_shard_requests.Add({{"kind", "first"}}).Increment(result.attempts - result.retries - result.hedges);
+            m_shard_requests.Add({{"kind", "retry"}}).Increment(result.retries);
+            m_shard_requests.Add({{"kind", "hedge"}}).Increment(result.hedges);
+            if (result.response) {
+                m_queries.Add({{"outcome", result.response->missing.empty() ? "whole" : "partial"}}).Increment();
+                m_shards_missing.Increment(static_cast<double>(result.response->missing.size()));
+                reply(json_response(200, nlohmann::json(*result.response).dump()));
+                return;
+            }
+            m_queries.Add({{"outcome", to_string(result.failure->kind())}}).Increment();
+            reply(error_response(*result.failure, result.retry_after_s));
+        });
 }
 
-void entry_service::write(http_request const& request, reply_fn reply)
+void entry_service::handle_write(http_request const& request, reply_fn reply)
 {
     auto message = parse_message<write_request>(request.body, "write");
     m_writes.run(m_view.current(), std::move(message), [this, reply = std::move(reply)](write_result result) {
-        if (result.answer) {
-            m_write_outcomes.Add({{"outcome", result.answer->replayed ? "replayed" : "ran"}}).Increment();
-            reply(json_response(200, nlohmann::json(*result.answer).dump()));
+        if (result.response) {
+            m_write_outcomes.Add({{"outcome", result.response->replayed ? "replayed" : "ran"}}).Increment();
+            reply(json_response(200, nlohmann::json(*result.response).dump()));
             return;
         }
         m_write_outcomes.Add({{"outcome", to_string(result.failure->kind())}}).Increment();
@@ -170,27 +171,27 @@
     });
 }
 
-std::vector<std::string> entry_service::other_entries(bool include_self)
+std::vector<std::string> entry_service::entry_addresses(bool include_self)
 {
     auto const snapshot = m_view.current();
-    std::vector<std::string> near;
-    std::vector<std::string> far;
+    std::vector<std::string> same_domain;
+    std::vector<std::string> other_domains;
     for (auto const& [id, node] : snapshot->members) {
         if (!include_self && id == m_config.id) continue;
-        (node.failure_domain == m_config.failure_domain ? near : far).push_back(node.address);
+        (node.failure_domain == m_config.failure_domain ? same_domain : other_domains).push_back(node.address);
     }
     // Each caller gets another order and, in a large fleet, another part, so that callers spread over the nodes.
-    std::shuffle(near.begin(), near.end(), m_random);
-    std::shuffle(far.begin(), far.end(), m_random);
-    near.insert(near.end(), far.begin(), far.end());
-    near.resize(std::min(near.size(), m_config.entries_limit));
-    return near;
+    std::shuffle(same_domain.begin(), same_domain.end(), m_random);
+    std::shuffle(other_domains.begin(), other_domains.end(), m_random);
+    same_domain.insert(same_domain.end(), other_domains.begin(), other_domains.end());
+    same_domain.resize(std::min(same_domain.size(), m_config.entries_limit));
+    return same_domain;
 }
 
-http_response entry_service::entries()
+http_response entry_service::entries_response()
 {
     entry_list list;
-    list.addresses = other_entries(!m_draining);
+    list.addresses = entry_addresses(!m_draining);
     list.ttl_s = m_config.entries_ttl_s;
     return json_response(200, nlohmann::json(list).dump());
 }
--- a/src/entry/entry_service.hpp
+++ b/src/entry/entry_service.hpp
@@ -37,23 +37,23 @@
     /** Handles one request. @param request request. @param reply answer sink. */
     void handle(http_request const& request, reply_fn reply);
     /** From now on, refuses new queries and tells callers where else to go. */
-    void begin_drain() { m_draining = true; }
+    void start_drain() { m_draining = true; }
 
 private:
     /** Handles POST /v1/query. */
-    void query(http_request const& request, reply_fn reply);
+    void handle_query(http_request const& request, reply_fn reply);
     /** Handles POST /v1/writes. */
-    void write(http_request const& request, reply_fn reply);
+    void handle_write(http_request const& request, reply_fn reply);
     /** @return the refusal sent while this node drains: not run, with the other entry addresses. */
-    http_response draining_refusal();
+    http_response draining_response();
     /** @return the answer to GET /healthz. */
-    http_response health() const;
+    http_response health_response() const;
     /** @return the metrics as Prometheus text. */
-    http_response metrics_text();
+    http_response metrics_response();
     /** @return the answer to GET /v1/entries. */
-    http_response entries();
+    http_response entries_response();
     /** @return addresses of live entry nodes, same failure domain first, shuffled, at most entries_limit. */
-    std::vector<std::string> other_entries(bool include_self);
+    std::vector<std::string> entry_addresses(bool include_self);
     /** @return a new request id. */
     std::string new_request_id();
 
--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -73,7 +73,7 @@
 }
 
 /** @return the scatter-gather settings. */
-gather_options gather_settings(settings const& config)
+gather_options make_gather_options(settings const& config)
 {
     gather_options options;
     options.default_deadline = milliseconds(config.integer("query.default_deadline_ms"));
@@ -88,7 +88,7 @@
 }
 
 /** @return the settings of non-idempotent requests. */
-write_options write_settings(settings const& config)
+write_options make_write_options(settings const& config)
 {
     write_options options;
     options.owner = config.text("id");
@@ -100,7 +100,8 @@
 }
 
 /** @return the task that reads the platform's VM list, or null when none is set. */
-std::unique_ptr<vm_list_watcher> watch_vm_list(settings const& config, h2_client& client, backend_tracker& tracker)
+std::unique_ptr<vm_list_watcher> make_vm_list_watcher(settings const& config, h2_client& client,
+                                                      backend_tracker& tracker)
 {
     if (config.text("vm_list.address").empty()) return nullptr;
     vm_list_options options;
@@ -110,7 +111,7 @@
 }
 
 /** @return this node's identity and what callers are told. */
-entry_config identity_settings(settings const& config)
+entry_config make_entry_config(settings const& config)
 {
     entry_config identity;
     identity.id = config.text("id");
@@ -121,7 +122,7 @@
 }
 
 /** @return the caller-facing listener's address and limits. */
-server_options listen_settings(settings const& config)
+server_options make_server_options(settings const& config)
 {
     server_options listen;
     listen.listen = {config.text("listen.host"), static_cast<std::uint16_t>(config.integer("listen.port"))};
@@ -146,13 +147,13 @@
     backend_tracker tracker;
     std::string const policy = config.text("query.policy");
     auto chooser = make_chooser(policy, tracker);
-    scatter_gather gather(client, gather_settings(config), chooser, tracker, [&view] { return view.current(); });
-    auto writes = std::make_unique<write_coordinator>(store, client, chooser, tracker, write_settings(config));
-    auto vm_list = watch_vm_list(config, client, tracker);
-    auto const identity = identity_settings(config);
+    scatter_gather gather(client, make_gather_options(config), chooser, tracker, [&view] { return view.current(); });
+    auto writes = std::make_unique<write_coordinator>(store, client, chooser, tracker, make_write_options(config));
+    auto vm_list = make_vm_list_watcher(config, client, tracker);
+    auto const identity = make_entry_config(config);
     entry_service service(identity, view, gather, *writes, std::make_shared<prometheus::Registry>());
     service.set_transport_stats([&client] { return client.stats(); });
-    auto const listen = listen_settings(config);
+    auto const listen = make_server_options(config);
     http_server server(
         listen, [&service](http_request const& request, reply_fn reply) { service.handle(request, std::move(reply)); });
     server.start();
@@ -166,14 +167,14 @@
     wait_for_stop_signal();
     LOG4CPLUS_INFO(logger, "stopping: leaving the member list and draining");
     auto const drain_until = clock::now() + milliseconds(config.integer("drain_ms"));
-    service.begin_drain();
+    service.start_drain();
     members.leave();
-    auto const left =
+    auto const unfinished_requests =
         server.drain(std::max(milliseconds(0), std::chrono::ceil<milliseconds>(drain_until - clock::now())));
-    while (writes->unrecorded() > 0 && clock::now() < drain_until)
+    while (writes->pending_record_updates() > 0 && clock::now() < drain_until)
         std::this_thread::sleep_for(milliseconds(10));
-    LOG4CPLUS_INFO(logger,
-                   "stopped; queries cut off: " << left << ", write outcomes unrecorded: " << writes->unrecorded());
+    LOG4CPLUS_INFO(logger, "stopped; queries cut off: " << unfinished_requests << ", write outcomes unrecorded: "
+                                                        << writes->pending_record_updates());
     // The tasks that wait for store calls end before the client whose thread completes those calls.
     vm_list.reset();
     writes.reset();
--- a/tests/local_fleet.cpp
+++ b/tests/local_fleet.cpp
@@ -14,7 +14,7 @@
 constexpr milliseconds fault_timeout{5000};
 
 /** @return server options for a free loopback port. */
-server_options any_port()
+server_options free_port_options()
 {
     server_options options;
     options.tick_interval = milliseconds(10);
@@ -25,7 +25,7 @@
 
 bool eventually(std::function<bool()> const& holds)
 {
-    auto const until = clock::now() + settle_wait;
+    auto const until = clock::now() + condition_timeout;
     while (clock::now() < until) {
         if (holds()) return true;
         std::this_thread::sleep_for(milliseconds(10));
@@ -34,7 +34,7 @@
 }
 
 local_store::local_store()
-    : server(any_port(),
+    : server(free_port_options(),
              [this](http_request const& request, reply_fn reply) { service.handle(request, std::move(reply)); })
 {
     server.set_tick([this](time_point now) { service.tick(now); });
@@ -56,17 +56,17 @@
     return result.response;
 }
 
-void local_store::fault(nlohmann::json const& body) { post(paths::fault, body); }
+void local_store::set_faults(nlohmann::json const& body) { post(paths::fault, body); }
 
-void local_store::set_vm(std::string const& vm, std::string const& state)
+void local_store::set_vm_state(std::string const& vm, std::string const& state)
 {
     post(paths::vms, {{"address", vm}, {"state", state}});
 }
 
 local_backend::local_backend(backend_config config, std::vector<document> const& corpus)
-    : service(std::move(config), corpus), server(any_port(), [this](http_request const& request, reply_fn reply) {
-          service.handle(request, std::move(reply));
-      })
+    : service(std::move(config), corpus),
+      server(free_port_options(),
+             [this](http_request const& request, reply_fn reply) { service.handle(request, std::move(reply)); })
 {
     server.start();
 }
@@ -109,7 +109,7 @@
     return future.get();
 }
 
-std::vector<std::int32_t> ring_shards(std::size_t backend, std::size_t backends, std::int32_t shard_count)
+std::vector<std::int32_t> shards_of_backend(std::size_t backend, std::size_t backends, std::int32_t shard_count)
 {
     std::vector<std::int32_t> shards;
     for (std::int32_t shard = 0; shard < shard_count; ++shard) {
@@ -141,7 +141,7 @@
 {
     m_shard_counts[version] = shard_count;
     for (std::size_t i = 0; i < backends.size(); ++i) {
-        backends[i]->service.load_version({version, shard_count, ring_shards(i, backends.size(), shard_count)});
+        backends[i]->service.load_version({version, shard_count, shards_of_backend(i, backends.size(), shard_count)});
     }
 }
 
@@ -165,7 +165,7 @@
         spec.address = backends[i]->address().to_string();
         spec.service = "svc";
         for (auto version : versions)
-            spec.holdings.push_back({version, ring_shards(i, backends.size(), m_shard_counts.at(version))});
+            spec.holdings.push_back({version, shards_of_backend(i, backends.size(), m_shard_counts.at(version))});
         put({resource_kind::backend, "b" + std::to_string(i), spec, 0});
     }
     service_spec spec;
@@ -174,7 +174,7 @@
     return put({resource_kind::service, "svc", spec, 0});
 }
 
-bool local_fleet::converged(std::int64_t revision)
+bool local_fleet::wait_until_applied(std::int64_t revision)
 {
     return eventually([&] {
         for (auto const& entry : entries) {
@@ -184,14 +184,14 @@
     });
 }
 
-std::vector<hit> local_fleet::expected(std::int64_t version, std::set<std::int32_t> const& shards,
-                                       std::string const& query, std::size_t k)
+std::vector<hit> local_fleet::expected_hits(std::int64_t version, std::set<std::int32_t> const& shards,
+                                            std::string const& query, std::size_t k)
 {
     std::vector<std::vector<hit>> lists;
     for (auto shard : shards) {
-        auto found = m_oracle.find({version, shard});
-        if (found == m_oracle.end()) {
-            found = m_oracle
+        auto found = m_reference_indexes.find({version, shard});
+        if (found == m_reference_indexes.end()) {
+            found = m_reference_indexes
                         .emplace(std::make_pair(version, shard),
                                  shard_index(corpus, shard, version, m_shard_counts.at(version)))
                         .first;
@@ -211,7 +211,7 @@
     return all;
 }
 
-int local_fleet::runs_of(std::string const& key) const
+int local_fleet::write_runs(std::string const& key) const
 {
     int runs = 0;
     for (auto const& entry : journals()) {
@@ -220,14 +220,14 @@
     return runs;
 }
 
-void local_fleet::heal()
+void local_fleet::clear_faults()
 {
     for (auto const& backend : backends) {
         backend->service.set_faults({});
         backend->server.set_frozen(false);
     }
     store.server.set_frozen(false);
-    store.fault(nlohmann::json::object());
+    store.set_faults(nlohmann::json::object());
 }
 
 } // namespace cornelspring::testing
--- a/tests/local_fleet.hpp
+++ b/tests/local_fleet.hpp
@@ -14,9 +14,9 @@
 namespace cornelspring::testing {
 
 /** Longest bounded wait for a condition that must come true. */
-inline constexpr milliseconds settle_wait{15000};
+inline constexpr milliseconds condition_timeout{15000};
 
-/** @return whether @p holds came true within settle_wait. @param holds condition, polled. */
+/** @return whether @p holds came true within condition_timeout. @param holds condition, polled. */
 bool eventually(std::function<bool()> const& holds);
 
 /** The store stand-in with its server. */
@@ -27,9 +27,9 @@
     /** @return its address. */
     endpoint address() const { return {"127.0.0.1", server.port()}; }
     /** Sets faults, on the server's thread. */
-    void fault(nlohmann::json const& body);
+    void set_faults(nlohmann::json const& body);
     /** Marks a VM, as the platform would. */
-    void set_vm(std::string const& address, std::string const& state);
+    void set_vm_state(std::string const& address, std::string const& state);
     /** Sends @p body to @p path and waits. @return the response. */
     http_response post(std::string const& path, nlohmann::json const& body);
     h2_client client; ///< For the fault calls above.
@@ -72,7 +72,7 @@
 };
 
 /** Which back ends hold what: back end i of n holds shard s when s % n is i or i - 1 (two replicas each). */
-std::vector<std::int32_t> ring_shards(std::size_t backend, std::size_t backends, std::int32_t shard_count);
+std::vector<std::int32_t> shards_of_backend(std::size_t backend, std::size_t backends, std::int32_t shard_count);
 
 /** A service "svc" over a few back ends and entry nodes, all in this process. */
 class local_fleet {
@@ -85,20 +85,20 @@
     /** Writes the service and its back ends to the store. @return the store revision after it. */
     std::int64_t publish();
     /** Waits until every entry node has applied @p revision. */
-    bool converged(std::int64_t revision);
+    bool wait_until_applied(std::int64_t revision);
     /** Loads version @p version cut into @p shard_count on every back end (not yet published). */
     void load_version(std::int64_t version, std::int32_t shard_count);
     /** @return the hits that the whole index, restricted to @p shards at @p version, must give. */
-    std::vector<hit> expected(std::int64_t version, std::set<std::int32_t> const& shards, std::string const& query,
-                              std::size_t k);
+    std::vector<hit> expected_hits(std::int64_t version, std::set<std::int32_t> const& shards, std::string const& query,
+                                   std::size_t k);
     /** @return shards of version @p version. */
     std::int32_t shard_count(std::int64_t version) const { return m_shard_counts.at(version); }
     /** @return events of every back end's journal. */
     std::vector<journal_entry> journals() const;
     /** @return how often the write @p key ran, over all back ends. */
-    int runs_of(std::string const& key) const;
+    int write_runs(std::string const& key) const;
     /** Removes every fault. */
-    void heal();
+    void clear_faults();
 
     std::vector<document> corpus;
     local_store store;
@@ -108,9 +108,9 @@
     std::set<std::int64_t> versions{1}; ///< Versions the back ends hold, as published.
 
 private:
-    std::map<std::int64_t, std::int32_t> m_shard_counts;                   ///< Shards by version.
-    std::map<std::pair<std::int64_t, std::int32_t>, shard_index> m_oracle; ///< Indexes for expected().
-    h2_client m_client;                                                    ///< For publish().
+    std::map<std::int64_t, std::int32_t> m_shard_counts;                              ///< Shards by version.
+    std::map<std::pair<std::int64_t, std::int32_t>, shard_index> m_reference_indexes; ///< Indexes for expected().
+    h2_client m_client;                                                               ///< For publish().
 };
 
 } // namespace cornelspring::testing
--- a/tests/random_run.hpp
+++ b/tests/random_run.hpp
@@ -18,7 +18,7 @@
 }
 
 /** @return the seeds to run: a fixed list, or 1..CORNEL_RANDOM_SEEDS for a longer run. */
-inline std::vector<std::uint64_t> run_seeds()
+inline std::vector<std::uint64_t> random_seeds()
 {
     int const count = number_from_environment("CORNEL_RANDOM_SEEDS", 0);
     if (count <= 0) return {11, 23, 47};
@@ -29,13 +29,13 @@
 }
 
 /** @return requests started per seed; CORNEL_RANDOM_STEPS sets it. */
-inline int run_steps() { return number_from_environment("CORNEL_RANDOM_STEPS", 150); }
+inline int steps_per_seed() { return number_from_environment("CORNEL_RANDOM_STEPS", 150); }
 
 /** Prints how often each outcome came, so that a run that provoked nothing is seen. */
-inline void report_tally(char const* what, std::uint64_t seed, std::map<std::string, int> const& tally)
+inline void print_outcome_counts(char const* what, std::uint64_t seed, std::map<std::string, int> const& outcome_counts)
 {
     std::cout << what << " seed " << seed << ":";
-    for (auto const& [name, count] : tally)
+    for (auto const& [name, count] : outcome_counts)
         std::cout << " " << name << "=" << count;
     std::cout << "\n";
 }
--- a/tests/test_coordination_contract.cpp
+++ b/tests/test_coordination_contract.cpp
@@ -26,10 +26,10 @@
 constexpr milliseconds short_timeout{300};
 
 /** Queries in a row without new work at a leaving back end that count as closed. */
-constexpr int quiet_queries = 50;
+constexpr int queries_without_new_work = 50;
 
 /** A store with one client. */
-struct store_bench {
+struct store_fixture {
     local_store store;
     h2_client transport;
     store_client client{transport, store.address(), short_timeout};
@@ -41,40 +41,40 @@
 {
     struct fault_case {
         std::string name;
-        std::function<void(store_bench&)> provoke;
+        std::function<void(store_fixture&)> inject;
         std::string kind;
         bool written;
     };
     fault_case const cases[] = {
-        {"no fault", [](store_bench&) {}, "none", true},
+        {"no fault", [](store_fixture&) {}, "none", true},
         {"outage",
-         [](store_bench& b) {
-             b.store.fault({{"outage_ms", 60000}});
+         [](store_fixture& b) {
+             b.store.set_faults({{"outage_ms", 60000}});
          },
          "unavailable", false},
         {"reply lost after the write",
-         [](store_bench& b) {
-             b.store.fault({{"lose_replies", 1}});
+         [](store_fixture& b) {
+             b.store.set_faults({{"lose_replies", 1}});
          },
          "outcome_unknown", true},
         {"slower than the timeout",
-         [](store_bench& b) {
-             b.store.fault({{"delay_ms", 1000}});
+         [](store_fixture& b) {
+             b.store.set_faults({{"delay_ms", 1000}});
          },
          "outcome_unknown", true},
-        {"connection silent", [](store_bench& b) { b.store.server.silence_open_connections(); }, "outcome_unknown",
+        {"connection silent", [](store_fixture& b) { b.store.server.silence_open_connections(); }, "outcome_unknown",
          false},
     };
     for (auto const& item : cases) {
         CAPTURE(item.name);
-        store_bench bench;
-        bench.client.put("warm", "1");
-        item.provoke(bench);
+        store_fixture fixture;
+        fixture.client.put("warm", "1");
+        item.inject(fixture);
         std::this_thread::sleep_for(milliseconds(50));
-        CHECK(kind_of([&] { bench.client.put("k", "v"); }) == item.kind);
-        bench.store.fault(nlohmann::json::object());
+        CHECK(kind_of([&] { fixture.client.put("k", "v"); }) == item.kind);
+        fixture.store.set_faults(nlohmann::json::object());
         std::this_thread::sleep_for(milliseconds(50));
-        CHECK(bench.client.get("k").first.has_value() == item.written);
+        CHECK(fixture.client.get("k").first.has_value() == item.written);
     }
 }
 
@@ -105,21 +105,21 @@
     };
     for (auto const& item : cases) {
         CAPTURE(item.name);
-        store_bench bench;
-        bench.store.fault(item.fault);
-        CHECK(bench.client.compare_and_swap("k", 0, "mine").succeeded);
-        auto const found = bench.client.get("k").first;
+        store_fixture fixture;
+        fixture.store.set_faults(item.fault);
+        CHECK(fixture.client.compare_and_swap("k", 0, "mine").succeeded);
+        auto const found = fixture.client.get("k").first;
         REQUIRE(found.has_value());
         CHECK(found->version == item.versions);
         // Someone else's write in between is seen, not overwritten.
-        CHECK_FALSE(bench.client.compare_and_swap("k", 0, "late").succeeded);
-        CHECK(bench.client.get("k").first->value == "mine");
+        CHECK_FALSE(fixture.client.compare_and_swap("k", 0, "late").succeeded);
+        CHECK(fixture.client.get("k").first->value == "mine");
     }
 }
 
 TEST_CASE("randomised: of operators racing on one resource, no accepted change is lost or made twice")
 {
-    for (auto seed : run_seeds()) {
+    for (auto seed : random_seeds()) {
         CAPTURE(seed);
         local_store store;
         std::atomic<bool> done{false};
@@ -147,7 +147,7 @@
         std::thread faults([&] {
             std::mt19937_64 random(seed);
             while (!done) {
-                store.fault({{"lose_replies", random() % 3}, {"refuse_writes", random() % 2}});
+                store.set_faults({{"lose_replies", random() % 3}, {"refuse_writes", random() % 2}});
                 if (random() % 8 == 0) store.server.silence_open_connections();
                 std::this_thread::sleep_for(milliseconds(random() % 40));
             }
@@ -156,7 +156,7 @@
             thread.join();
         done = true;
         faults.join();
-        store.fault(nlohmann::json::object());
+        store.set_faults(nlohmann::json::object());
         h2_client transport;
         store_client reader(transport, store.address(), milliseconds(2000));
         std::istringstream text(reader.get("k").first.value_or(key_value{}).value);
@@ -164,37 +164,37 @@
         std::string token;
         while (text >> token)
             ++present[token];
-        std::map<std::string, int> tally;
+        std::map<std::string, int> outcome_counts;
         for (auto const& [name, written] : accepted) {
             CAPTURE(name);
             CHECK(present[name] == (written ? 1 : 0));
-            ++tally[written ? "accepted" : "refused"];
+            ++outcome_counts[written ? "accepted" : "refused"];
         }
-        report_tally("operators", seed, tally);
+        print_outcome_counts("operators", seed, outcome_counts);
     }
 }
 
 TEST_CASE("an entry node that restarts during a store outage serves nothing old afterwards")
 {
     local_fleet fleet(2, 2, 2, 4);
-    REQUIRE(fleet.converged(fleet.publish()));
+    REQUIRE(fleet.wait_until_applied(fleet.publish()));
     fleet.load_version(2, 3);
     fleet.versions = {1, 2};
     fleet.published_version = 2;
     auto const accepted = fleet.publish();
-    fleet.store.fault({{"outage_ms", 500}});
+    fleet.store.set_faults({{"outage_ms", 500}});
     fleet.entries[0].reset();
     fleet.entries[0] = std::make_unique<local_entry>(fleet.store.address(), "e0", entry_setup{});
-    REQUIRE(fleet.converged(accepted));
+    REQUIRE(fleet.wait_until_applied(accepted));
     query_request query;
     query.service = "svc";
     query.query = "sea";
     query.request_id = "q";
     for (auto const& entry : fleet.entries) {
         auto const result = entry->query(query);
-        REQUIRE(result.answer.has_value());
-        CHECK(result.answer->index_version == 2);
-        CHECK(result.answer->coverage == doctest::Approx(1.0));
+        REQUIRE(result.response.has_value());
+        CHECK(result.response->index_version == 2);
+        CHECK(result.response->coverage == doctest::Approx(1.0));
     }
 }
 
@@ -202,46 +202,46 @@
 {
     struct fault_case {
         std::string name;
-        std::function<void(store_bench&)> provoke; ///< Before the entry node starts.
+        std::function<void(store_fixture&)> inject; ///< Before the entry node starts.
     };
     fault_case const cases[] = {
-        {"no fault", [](store_bench&) {}},
+        {"no fault", [](store_fixture&) {}},
         {"reply to the lease grant lost",
-         [](store_bench& b) {
-             b.store.fault({{"lose_replies", 1}});
+         [](store_fixture& b) {
+             b.store.set_faults({{"lose_replies", 1}});
          }},
         {"two replies to the lease grant lost",
-         [](store_bench& b) {
-             b.store.fault({{"lose_replies", 2}});
+         [](store_fixture& b) {
+             b.store.set_faults({{"lose_replies", 2}});
          }},
         {"reply to the registration lost",
-         [](store_bench& b) {
-             b.store.fault({{"skip_writes", 1}, {"lose_replies", 1}});
+         [](store_fixture& b) {
+             b.store.set_faults({{"skip_writes", 1}, {"lose_replies", 1}});
          }},
         {"registration refused after the lease was granted",
-         [](store_bench& b) {
-             b.store.fault({{"skip_writes", 1}, {"refuse_writes", 1}});
+         [](store_fixture& b) {
+             b.store.set_faults({{"skip_writes", 1}, {"refuse_writes", 1}});
          }},
         {"store down at the start",
-         [](store_bench& b) {
-             b.store.fault({{"outage_ms", 500}});
+         [](store_fixture& b) {
+             b.store.set_faults({{"outage_ms", 500}});
          }},
     };
     for (auto const& item : cases) {
         CAPTURE(item.name);
-        store_bench bench;
-        item.provoke(bench);
-        membership members(bench.client, member{"e1", "127.0.0.1:1", "Wien"}, 2);
+        store_fixture fixture;
+        item.inject(fixture);
+        membership members(fixture.client, member{"e1", "127.0.0.1:1", "Wien"}, 2);
         members.start();
         h2_client other;
-        store_client reader(other, bench.store.address(), milliseconds(2000));
+        store_client reader(other, fixture.store.address(), milliseconds(2000));
         auto const listed = [&] {
             return kind_of([&] { reader.range_prefix(member_prefix); }) == "none" &&
                    reader.range_prefix(member_prefix).kvs.size() == 1;
         };
         CHECK(eventually(listed));
         // The lease lapses while its holder cannot renew it (an outage longer than the lease), then it comes back.
-        bench.store.fault({{"outage_ms", 3000}});
+        fixture.store.set_faults({{"outage_ms", 3000}});
         CHECK(eventually([&] { return !listed(); }));
         CHECK(eventually(listed));
     }
@@ -251,8 +251,8 @@
 {
     struct fault_case {
         std::string name;
-        std::function<void(local_fleet&)> provoke; ///< Just after the change was accepted.
-        milliseconds bound;                        ///< Time within which every entry node must have it.
+        std::function<void(local_fleet&)> inject; ///< Just after the change was accepted.
+        milliseconds bound;                       ///< Time within which every entry node must have it.
     };
     fault_case const cases[] = {
         {"no fault", [](local_fleet&) {}, milliseconds(4000)},
@@ -260,29 +260,29 @@
          milliseconds(4000)},
         {"store slow",
          [](local_fleet& f) {
-             f.store.fault({{"delay_ms", 200}});
+             f.store.set_faults({{"delay_ms", 200}});
          },
          milliseconds(4000)},
         {"store down for a second",
          [](local_fleet& f) {
-             f.store.fault({{"outage_ms", 1000}});
+             f.store.set_faults({{"outage_ms", 1000}});
          },
          milliseconds(5000)},
     };
     for (auto const& item : cases) {
         CAPTURE(item.name);
         local_fleet fleet(2, 9, 2, 2);
-        REQUIRE(fleet.converged(fleet.publish()));
+        REQUIRE(fleet.wait_until_applied(fleet.publish()));
         std::this_thread::sleep_for(milliseconds(100)); // every watch waits
-        item.provoke(fleet);
+        item.inject(fleet);
         fleet.published_version = 1;
         h2_client transport;
         store_client operator_client(transport, fleet.store.address(), milliseconds(2000));
         std::int64_t accepted = 0;
-        auto begun = clock::now();
+        auto started_at = clock::now();
         CHECK(eventually([&] {
             try {
-                begun = clock::now();
+                started_at = clock::now();
                 accepted = operator_client.put(
                     resource_key(resource_kind::route, "r"),
                     resource_to_json({resource_kind::route, "r", route_spec{"c", "svc"}, 0}).dump());
@@ -290,24 +290,24 @@
             }
             return accepted > 0;
         }));
-        CHECK(fleet.converged(accepted));
-        auto const took = std::chrono::duration_cast<milliseconds>(clock::now() - begun);
+        CHECK(fleet.wait_until_applied(accepted));
+        auto const took = std::chrono::duration_cast<milliseconds>(clock::now() - started_at);
         MESSAGE(item.name << ": 9 entry nodes converged in " << took.count() << " ms after acceptance");
-        fleet.heal();
+        fleet.clear_faults();
     }
 }
 
 TEST_CASE("a watcher is not thrown back to a full read by writes outside the configuration")
 {
-    store_bench bench;
-    bench.client.put(resource_key(resource_kind::route, "r"),
-                     resource_to_json({resource_kind::route, "r", route_spec{"c", "svc"}, 0}).dump());
+    store_fixture fixture;
+    fixture.client.put(resource_key(resource_kind::route, "r"),
+                       resource_to_json({resource_kind::route, "r", route_spec{"c", "svc"}, 0}).dump());
     config_view view;
-    config_watcher watcher(bench.client, view, milliseconds(50));
+    config_watcher watcher(fixture.client, view, milliseconds(50));
     watcher.start();
     REQUIRE(eventually([&] { return view.current()->routes.size() == 1; }));
     h2_client transport;
-    store_client writer(transport, bench.store.address(), milliseconds(2000));
+    store_client writer(transport, fixture.store.address(), milliseconds(2000));
     std::int64_t last = 0;
     for (int i = 0; i < 50; ++i)
         last = writer.put(std::string(write_prefix) + "svc/" + std::to_string(i), "{}");
@@ -317,51 +317,51 @@
 
 TEST_CASE("entry nodes follow a store that was restored from an older copy, and register again")
 {
-    store_bench bench;
+    store_fixture fixture;
     config_view view;
-    config_watcher watcher(bench.client, view, milliseconds(50));
+    config_watcher watcher(fixture.client, view, milliseconds(50));
     watcher.start();
     h2_client transport;
-    store_client writer(transport, bench.store.address(), milliseconds(2000));
+    store_client writer(transport, fixture.store.address(), milliseconds(2000));
     auto const write = [&](std::string const& name) {
         writer.put(resource_key(resource_kind::route, name),
                    resource_to_json({resource_kind::route, name, route_spec{"c", "svc"}, 0}).dump());
     };
-    auto const knows = [&](std::string const& name) { return view.current()->routes.count(name) == 1; };
+    auto const view_has_route = [&](std::string const& name) { return view.current()->routes.count(name) == 1; };
     write("kept");
-    REQUIRE(eventually([&] { return knows("kept"); }));
-    bench.store.fault({{"copy", true}});
+    REQUIRE(eventually([&] { return view_has_route("kept"); }));
+    fixture.store.set_faults({{"copy", true}});
     h2_client member_transport;
-    store_client member_client(member_transport, bench.store.address(), milliseconds(2000));
+    store_client member_client(member_transport, fixture.store.address(), milliseconds(2000));
     membership members(member_client, member{"e1", "127.0.0.1:1", "Wien"}, 2);
     members.start();
     for (int i = 0; i < 5; ++i)
         write("lost" + std::to_string(i));
-    REQUIRE(eventually([&] { return knows("lost4") && view.current()->members.size() == 1; }));
-    bench.store.fault({{"restore", true}});
+    REQUIRE(eventually([&] { return view_has_route("lost4") && view.current()->members.size() == 1; }));
+    fixture.store.set_faults({{"restore", true}});
     write("later");
-    CHECK(eventually([&] { return knows("later"); }));
-    CHECK(knows("kept"));
-    CHECK_FALSE(knows("lost0"));
+    CHECK(eventually([&] { return view_has_route("later"); }));
+    CHECK(view_has_route("kept"));
+    CHECK_FALSE(view_has_route("lost0"));
     CHECK(eventually([&] { return view.current()->members.size() == 1; }));
 }
 
 TEST_CASE("after an outage the watch goes on from where it was, without a full read")
 {
     local_fleet fleet(2, 3, 2, 2);
-    REQUIRE(fleet.converged(fleet.publish()));
+    REQUIRE(fleet.wait_until_applied(fleet.publish()));
     auto const full_reads = [&] {
         auto const calls = nlohmann::json::parse(fleet.store.post(paths::stats, {}).body);
         return calls.value(store_paths::range, 0);
     };
     auto const before = full_reads();
-    fleet.store.fault({{"outage_ms", 600}});
+    fleet.store.set_faults({{"outage_ms", 600}});
     std::this_thread::sleep_for(milliseconds(200));
     fleet.store.server.silence_open_connections();
     fleet.published_version = 2;
     fleet.load_version(2, 3);
     fleet.versions = {1, 2};
-    CHECK(fleet.converged(fleet.publish()));
+    CHECK(fleet.wait_until_applied(fleet.publish()));
     CHECK(full_reads() == before);
 }
 
@@ -375,8 +375,8 @@
         {"its own drain signal", [](local_fleet& f) { f.backends[0]->service.set_faults({.draining = true}); }},
         {"the VM list, 500 ms late",
          [](local_fleet& f) {
-             f.store.fault({{"vm_lag_ms", 500}});
-             f.store.set_vm(f.backends[0]->address().to_string(), "leaving");
+             f.store.set_faults({{"vm_lag_ms", 500}});
+             f.store.set_vm_state(f.backends[0]->address().to_string(), "leaving");
          }},
         {"only failed requests: it is gone", [](local_fleet& f) { f.backends[0]->server.set_frozen(true); }},
     };
@@ -385,40 +385,40 @@
         entry_setup setup;
         setup.read_vm_list = true;
         local_fleet fleet(3, 1, 3, 8, setup);
-        REQUIRE(fleet.converged(fleet.publish()));
+        REQUIRE(fleet.wait_until_applied(fleet.publish()));
         int number = 0;
-        auto const ask = [&] {
+        auto const send_query = [&] {
             query_request query;
             query.service = "svc";
             query.query = "sea";
             query.request_id = std::to_string(++number);
             query.deadline_ms = 3000;
             auto const result = fleet.entries[0]->query(query);
-            CHECK(result.answer.has_value());
-            if (result.answer) CHECK(result.answer->coverage == doctest::Approx(1.0));
+            CHECK(result.response.has_value());
+            if (result.response) CHECK(result.response->coverage == doctest::Approx(1.0));
         };
-        for (int i = 0; i < quiet_queries; ++i)
-            ask(); // every back end is known and used
-        auto const told = std::chrono::duration_cast<milliseconds>(clock::now().time_since_epoch()).count();
+        for (int i = 0; i < queries_without_new_work; ++i)
+            send_query(); // every back end is known and used
+        auto const signaled_at_ms = std::chrono::duration_cast<milliseconds>(clock::now().time_since_epoch()).count();
         item.leave(fleet);
         // Queries go on until many in a row found it closed to new work.
         int last_at_leaving = 0;
         CHECK(eventually([&] {
-            ask();
+            send_query();
             for (auto const& entry : fleet.backends[0]->service.journal()) {
                 if (entry.event == journal_event::ran) last_at_leaving = std::max(last_at_leaving, std::stoi(entry.id));
             }
-            return number - last_at_leaving >= quiet_queries;
+            return number - last_at_leaving >= queries_without_new_work;
         }));
-        std::int64_t last_ms = told;
+        std::int64_t last_ms = signaled_at_ms;
         int refused = 0;
         for (auto const& entry : fleet.backends[0]->service.journal()) {
             if (entry.event == journal_event::refused) ++refused;
             if (entry.event == journal_event::ran) last_ms = std::max(last_ms, entry.at_ms);
         }
         // It is left alone, not asked and refused again and again.
-        CHECK(refused <= quiet_queries / 5);
-        MESSAGE(item.name << ": last new work " << last_ms - told << " ms after the signal");
-        fleet.heal();
+        CHECK(refused <= queries_without_new_work / 5);
+        MESSAGE(item.name << ": last new work " << last_ms - signaled_at_ms << " ms after the signal");
+        fleet.clear_faults();
     }
 }
--- a/tests/test_query_contract.cpp
+++ b/tests/test_query_contract.cpp
@@ -35,42 +35,43 @@
     return query;
 }
 
-/** @return the shards that @p answer says contributed. */
-std::set<std::int32_t> contributing(query_answer const& answer)
+/** @return the shards that @p response says contributed. */
+std::set<std::int32_t> contributing_shards(query_answer const& response)
 {
     std::set<std::int32_t> shards;
-    for (std::int32_t shard = 0; shard < answer.shards_total; ++shard)
+    for (std::int32_t shard = 0; shard < response.shards_total; ++shard)
         shards.insert(shard);
-    for (auto shard : answer.missing)
+    for (auto shard : response.missing)
         shards.erase(shard);
     return shards;
 }
 
 /** Checks @p result against an index built apart from the fleet, and against the back ends' own journals. */
-void check_truth(local_fleet& fleet, query_request const& asked, gather_result const& result,
-                 std::set<std::string> const& received,
-                 std::set<std::tuple<std::string, std::int32_t, std::int64_t>> const& ran)
+void check_result(local_fleet& fleet, query_request const& query, gather_result const& result,
+                  std::set<std::string> const& received,
+                  std::set<std::tuple<std::string, std::int32_t, std::int64_t>> const& ran)
 {
-    CAPTURE(asked.request_id);
-    CHECK(result.answer.has_value() != result.failure.has_value());
+    CAPTURE(query.request_id);
+    CHECK(result.response.has_value() != result.failure.has_value());
     if (result.failure) {
         CHECK(result.retry_after_s > 0);
-        if (result.failure->kind() == error_kind::not_run) CHECK(received.count(asked.request_id) == 0);
+        if (result.failure->kind() == error_kind::not_run) CHECK(received.count(query.request_id) == 0);
         return;
     }
-    auto const& answer = *result.answer;
-    CHECK(answer.request_id == asked.request_id);
-    CHECK(answer.shards_total == fleet.shard_count(answer.index_version));
-    auto const shards = contributing(answer);
-    CHECK(answer.shards_answered == static_cast<std::int32_t>(shards.size()));
-    CHECK(answer.coverage == doctest::Approx(static_cast<double>(shards.size()) / answer.shards_total));
+    auto const& response = *result.response;
+    CHECK(response.request_id == query.request_id);
+    CHECK(response.shards_total == fleet.shard_count(response.index_version));
+    auto const shards = contributing_shards(response);
+    CHECK(response.shards_answered == static_cast<std::int32_t>(shards.size()));
+    CHECK(response.coverage == doctest::Approx(static_cast<double>(shards.size()) / response.shards_total));
     for (auto shard : shards)
-        CHECK(ran.count({asked.request_id, shard, answer.index_version}) == 1);
+        CHECK(ran.count({query.request_id, shard, response.index_version}) == 1);
     // The hits are exactly those of the one version's contributing shards: nothing mixed in, nothing lost.
-    auto const expected = fleet.expected(answer.index_version, shards, asked.query, static_cast<std::size_t>(asked.k));
-    REQUIRE(answer.hits.size() == expected.size());
+    auto const expected =
+        fleet.expected_hits(response.index_version, shards, query.query, static_cast<std::size_t>(query.k));
+    REQUIRE(response.hits.size() == expected.size());
     for (std::size_t i = 0; i < expected.size(); ++i)
-        CHECK(answer.hits[i].doc == expected[i].doc);
+        CHECK(response.hits[i].doc == expected[i].doc);
 }
 
 /** Back ends' journals as look-up sets. */
@@ -93,7 +94,7 @@
 {
     struct fault_case {
         std::string name;
-        std::function<void(local_fleet&)> provoke;
+        std::function<void(local_fleet&)> inject;
         double coverage;     ///< Expected coverage; -1 when refused.
         char const* refusal; ///< Expected error kind when refused.
     };
@@ -135,37 +136,37 @@
     for (auto const& item : cases) {
         CAPTURE(item.name);
         local_fleet fleet(3, 1, 3, 8);
-        REQUIRE(fleet.converged(fleet.publish()));
-        REQUIRE(fleet.entries[0]->query(make_query("warm", "sea", 5000)).answer.has_value());
-        item.provoke(fleet);
+        REQUIRE(fleet.wait_until_applied(fleet.publish()));
+        REQUIRE(fleet.entries[0]->query(make_query("warm", "sea", 5000)).response.has_value());
+        item.inject(fleet);
         std::this_thread::sleep_for(milliseconds(50)); // the fault reaches the servers' threads
         // More than one query, as the policy picks among equals at random.
         for (int i = 0; i < queries_per_fault; ++i) {
             auto const query = make_query("q" + std::to_string(i), "love war", 2500);
             auto const result = fleet.entries[0]->query(query);
             journal_sets const journals(fleet);
-            check_truth(fleet, query, result, journals.received, journals.ran);
+            check_result(fleet, query, result, journals.received, journals.ran);
             if (item.coverage < 0) {
                 REQUIRE(result.failure.has_value());
                 CHECK(to_string(result.failure->kind()) == item.refusal);
             } else {
-                REQUIRE(result.answer.has_value());
-                CHECK(result.answer->coverage == doctest::Approx(item.coverage));
+                REQUIRE(result.response.has_value());
+                CHECK(result.response->coverage == doctest::Approx(item.coverage));
             }
         }
-        fleet.heal();
+        fleet.clear_faults();
     }
 }
 
 TEST_CASE("a query pinned to a version that was dropped meanwhile starts over at the new one")
 {
     local_fleet fleet(3, 1, 3, 8);
-    REQUIRE(fleet.converged(fleet.publish()));
+    REQUIRE(fleet.wait_until_applied(fleet.publish()));
     auto const old_snapshot = fleet.entries[0]->view.current();
     fleet.load_version(2, 5);
     fleet.versions = {2};
     fleet.published_version = 2;
-    REQUIRE(fleet.converged(fleet.publish()));
+    REQUIRE(fleet.wait_until_applied(fleet.publish()));
     for (auto const& backend : fleet.backends)
         backend->service.drop_version(1);
     // The query starts from the snapshot taken before the change, as one does that was being read just then.
@@ -174,29 +175,29 @@
     fleet.entries[0]->gather.run(old_snapshot, query,
                                  [&](gather_result result) { promise.set_value(std::move(result)); });
     auto const result = promise.get_future().get();
-    REQUIRE(result.answer.has_value());
-    CHECK(result.answer->index_version == 2);
-    CHECK(result.answer->coverage == doctest::Approx(1.0));
+    REQUIRE(result.response.has_value());
+    CHECK(result.response->index_version == 2);
+    CHECK(result.response->coverage == doctest::Approx(1.0));
     journal_sets const journals(fleet);
-    check_truth(fleet, query, result, journals.received, journals.ran);
+    check_result(fleet, query, result, journals.received, journals.ran);
 }
 
 TEST_CASE("randomised: every answer is whole, its own, from one version, and its coverage is true")
 {
-    for (auto seed : run_seeds()) {
+    for (auto seed : random_seeds()) {
         CAPTURE(seed);
         std::mt19937_64 random(seed);
         auto const chance = [&random](double p) { return std::uniform_real_distribution<double>(0, 1)(random) < p; };
         constexpr std::size_t backend_count = 4;
         constexpr std::size_t entry_count = 2;
         local_fleet fleet(backend_count, entry_count, 6, 16);
-        REQUIRE(fleet.converged(fleet.publish()));
-        std::vector<query_request> asked;
-        std::vector<std::future<gather_result>> answers;
+        REQUIRE(fleet.wait_until_applied(fleet.publish()));
+        std::vector<query_request> queries;
+        std::vector<std::future<gather_result>> futures;
         std::vector<std::shared_ptr<std::atomic<int>>> callbacks;
         std::vector<std::int64_t> last_revision(entry_count, 0);
         std::int64_t next_version = 2;
-        for (int step = 0; step < run_steps(); ++step) {
+        for (int step = 0; step < steps_per_seed(); ++step) {
             if (chance(0.15)) {
                 auto& backend = *fleet.backends[random() % backend_count];
                 backend.service.set_faults({.delay_ms = static_cast<std::int64_t>(random() % 500),
@@ -208,27 +209,27 @@
                 backend.server.set_frozen(chance(0.1));
                 if (chance(0.15)) backend.server.silence_open_connections();
             }
-            if (chance(0.03)) fleet.store.fault({{"outage_ms", random() % 500}});
+            if (chance(0.03)) fleet.store.set_faults({{"outage_ms", random() % 500}});
             if (chance(0.03)) fleet.store.server.silence_open_connections();
             if (chance(0.03)) {
                 // Repartitioning: a new version cut into another number of shards; the oldest is dropped.
                 fleet.load_version(next_version, static_cast<std::int32_t>(3 + random() % 6));
                 fleet.versions = {next_version - 1, next_version};
                 fleet.published_version = next_version;
-                fleet.store.fault(nlohmann::json::object());
+                fleet.store.set_faults(nlohmann::json::object());
                 fleet.publish();
                 for (auto const& backend : fleet.backends)
                     backend->service.drop_version(next_version - 2);
                 ++next_version;
             }
             auto& entry = *fleet.entries[random() % entry_count];
-            asked.push_back(make_query("q" + std::to_string(step), random_query(random),
-                                       static_cast<std::int64_t>(50 + random() % 1500)));
+            queries.push_back(make_query("q" + std::to_string(step), random_query(random),
+                                         static_cast<std::int64_t>(50 + random() % 1500)));
             auto promise = std::make_shared<std::promise<gather_result>>();
             auto calls = std::make_shared<std::atomic<int>>(0);
-            answers.push_back(promise->get_future());
+            futures.push_back(promise->get_future());
             callbacks.push_back(calls);
-            entry.gather.run(entry.view.current(), asked.back(), [promise, calls](gather_result result) {
+            entry.gather.run(entry.view.current(), queries.back(), [promise, calls](gather_result result) {
                 if (++*calls == 1) promise->set_value(std::move(result));
             });
             for (std::size_t i = 0; i < entry_count; ++i) {
@@ -239,23 +240,23 @@
             std::this_thread::sleep_for(milliseconds(random() % 8));
         }
         std::vector<gather_result> results;
-        for (auto& future : answers)
+        for (auto& future : futures)
             results.push_back(future.get());
-        fleet.heal();
+        fleet.clear_faults();
         std::this_thread::sleep_for(milliseconds(100));
         journal_sets const journals(fleet);
-        std::map<std::string, int> tally;
+        std::map<std::string, int> outcome_counts;
         for (std::size_t i = 0; i < results.size(); ++i) {
-            check_truth(fleet, asked[i], results[i], journals.received, journals.ran);
+            check_result(fleet, queries[i], results[i], journals.received, journals.ran);
             CHECK(callbacks[i]->load() == 1);
             auto const& result = results[i];
-            ++tally[!result.answer ? to_string(result.failure->kind())
-                                   : (result.answer->missing.empty() ? "whole" : "partial")];
-            tally["retries"] += result.retries;
-            tally["hedges"] += result.hedges;
+            ++outcome_counts[!result.response ? to_string(result.failure->kind())
+                                              : (result.response->missing.empty() ? "whole" : "partial")];
+            outcome_counts["retries"] += result.retries;
+            outcome_counts["hedges"] += result.hedges;
         }
-        tally["versions"] = static_cast<int>(next_version - 1);
-        report_tally("queries", seed, tally);
+        outcome_counts["versions"] = static_cast<int>(next_version - 1);
+        print_outcome_counts("queries", seed, outcome_counts);
         CHECK(invariant_violations() == 0);
     }
 }
--- a/tests/test_write_contract.cpp
+++ b/tests/test_write_contract.cpp
@@ -26,7 +26,7 @@
 /** @return "ran", "replayed" or the error kind of @p result. */
 std::string outcome(write_result const& result)
 {
-    if (result.answer) return result.answer->replayed ? "replayed" : "ran";
+    if (result.response) return result.response->replayed ? "replayed" : "ran";
     return to_string(result.failure->kind());
 }
 
@@ -35,7 +35,7 @@
     explicit write_fleet(entry_setup const& setup = {})
         : local_fleet(backend_count, entry_count, shards, slot_count, setup)
     {
-        REQUIRE(converged(publish()));
+        REQUIRE(wait_until_applied(publish()));
     }
     /** Sets the same faults on every back end. */
     void fault_backends(backend_faults const& faults)
@@ -51,7 +51,7 @@
 {
     struct fault_case {
         std::string name;
-        std::function<void(write_fleet&)> provoke;
+        std::function<void(write_fleet&)> inject;
         std::string first;  ///< Outcome of the first submission.
         std::string second; ///< Outcome of a second one on the other entry node, after the fault is gone.
         int runs;           ///< Times it ran in all.
@@ -62,17 +62,17 @@
         {"no fault", [](write_fleet&) {}, "ran", "replayed", 1},
         {"store reply lost after the claim took effect",
          [](write_fleet& f) {
-             f.store.fault({{"lose_replies", 1}});
+             f.store.set_faults({{"lose_replies", 1}});
          },
          "ran", "replayed", 1},
         {"two store replies lost",
          [](write_fleet& f) {
-             f.store.fault({{"lose_replies", 2}});
+             f.store.set_faults({{"lose_replies", 2}});
          },
          "ran", "replayed", 1},
         {"store down",
          [](write_fleet& f) {
-             f.store.fault({{"outage_ms", 60000}});
+             f.store.set_faults({{"outage_ms", 60000}});
          },
          "not_run", "ran", 1},
         {"store frozen", [](write_fleet& f) { f.store.server.set_frozen(true); }, "not_run", "ran", 1},
@@ -89,49 +89,49 @@
         // Both nodes get their retention lease first, so that the fault meets the claim itself.
         REQUIRE(outcome(fleet.entries[0]->write(booking("warm"))) == "ran");
         REQUIRE(outcome(fleet.entries[1]->write(booking("warm"))) == "replayed");
-        item.provoke(fleet);
+        item.inject(fleet);
         CHECK(outcome(fleet.entries[0]->write(booking("k", 2500))) == item.first);
-        fleet.heal();
+        fleet.clear_faults();
         // A refusal is final at once, but the record of a claim made during a store fault is released after it.
-        CHECK(eventually([&] { return fleet.entries[0]->writes.unrecorded() == 0; }));
+        CHECK(eventually([&] { return fleet.entries[0]->writes.pending_record_updates() == 0; }));
         for (auto& entry : fleet.entries)
             entry->tracker = backend_tracker(); // forget the drain signal: this test is about the record
         CHECK(outcome(fleet.entries[1]->write(booking("k"))) == item.second);
-        CHECK(fleet.runs_of("k") == item.runs);
+        CHECK(fleet.write_runs("k") == item.runs);
     }
 }
 
 TEST_CASE("a holder paused past the deadline after its claim does not send the request")
 {
     entry_setup setup;
-    setup.write.at_step = [](write_step where) {
+    setup.write.on_step = [](write_step where) {
         if (where == write_step::before_dispatch) std::this_thread::sleep_for(milliseconds(400));
     };
     write_fleet fleet(setup);
     CHECK(outcome(fleet.entries[0]->write(booking("k", 200))) == "not_run");
-    CHECK(fleet.runs_of("k") == 0);
+    CHECK(fleet.write_runs("k") == 0);
     CHECK(outcome(fleet.entries[1]->write(booking("k", 3000))) == "ran");
-    CHECK(fleet.runs_of("k") == 1);
+    CHECK(fleet.write_runs("k") == 1);
 }
 
 TEST_CASE("while one entry node holds the claim, another does not run the same key")
 {
     std::atomic<bool> paused{false};
-    std::atomic<bool> go{false};
+    std::atomic<bool> resume{false};
     entry_setup setup;
-    setup.write.at_step = [&](write_step where) {
+    setup.write.on_step = [&](write_step where) {
         if (where != write_step::before_dispatch || paused.exchange(true)) return;
-        while (!go)
+        while (!resume)
             std::this_thread::sleep_for(milliseconds(5));
     };
     write_fleet fleet(setup);
     auto first = std::async(std::launch::async, [&] { return fleet.entries[0]->write(booking("k", 30000)); });
     REQUIRE(eventually([&] { return paused.load(); }));
     CHECK(outcome(fleet.entries[1]->write(booking("k"))) == "outcome_unknown");
-    go = true;
+    resume = true;
     CHECK(outcome(first.get()) == "ran");
     CHECK(outcome(fleet.entries[1]->write(booking("k"))) == "replayed");
-    CHECK(fleet.runs_of("k") == 1);
+    CHECK(fleet.write_runs("k") == 1);
 }
 
 TEST_CASE("another request under a used key is refused")
@@ -141,20 +141,20 @@
     auto other = booking("k");
     other.body = "two seats";
     CHECK(outcome(fleet.entries[1]->write(other)) == "conflict");
-    CHECK(fleet.runs_of("k") == 1);
+    CHECK(fleet.write_runs("k") == 1);
 }
 
 TEST_CASE("randomised: a write runs at most once, and \"not run\" is true")
 {
-    for (auto seed : run_seeds()) {
+    for (auto seed : random_seeds()) {
         CAPTURE(seed);
         std::mt19937_64 random(seed);
         auto const chance = [&random](double p) { return std::uniform_real_distribution<double>(0, 1)(random) < p; };
         entry_setup setup;
-        setup.write.claim_wait = milliseconds(400);
+        setup.write.claim_timeout = milliseconds(400);
         write_fleet fleet(setup);
         std::map<std::string, std::vector<std::future<write_result>>> submissions;
-        for (int step = 0; step < run_steps(); ++step) {
+        for (int step = 0; step < steps_per_seed(); ++step) {
             if (chance(0.3)) {
                 auto& backend = *fleet.backends[random() % backend_count];
                 backend.service.set_faults({.shed_probability = chance(0.3) ? 0.5 : 0.0,
@@ -163,8 +163,8 @@
                 if (chance(0.1)) backend.server.silence_open_connections();
                 backend.server.set_frozen(chance(0.05));
             }
-            if (chance(0.1)) fleet.store.fault({{"lose_replies", static_cast<int>(random() % 4)}});
-            if (chance(0.05)) fleet.store.fault({{"outage_ms", 100}});
+            if (chance(0.1)) fleet.store.set_faults({{"lose_replies", static_cast<int>(random() % 4)}});
+            if (chance(0.05)) fleet.store.set_faults({{"outage_ms", 100}});
             if (chance(0.03)) fleet.store.server.silence_open_connections();
             // Most submissions name a new key; some repeat a recent one, here or on the other entry node.
             std::string const key = "w" + std::to_string(chance(0.4) ? random() % 10 + step * 2 / 3 : step * 2 / 3);
@@ -175,9 +175,9 @@
                              [promise](write_result result) { promise->set_value(std::move(result)); });
             std::this_thread::sleep_for(milliseconds(random() % 10));
         }
-        fleet.heal();
+        fleet.clear_faults();
         std::map<std::string, int> runs;
-        std::map<std::string, int> tally;
+        std::map<std::string, int> outcome_counts;
         std::map<std::string, std::vector<write_result>> results;
         for (auto& [key, futures] : submissions) {
             for (auto& future : futures)
@@ -188,21 +188,22 @@
         }
         for (auto const& [key, list] : results) {
             CAPTURE(key);
-            bool all_refused = true;
-            bool any_answer = false;
+            bool none_may_have_run = true;
+            bool any_response = false;
             for (auto const& result : list) {
-                ++tally[outcome(result)];
-                any_answer = any_answer || result.answer.has_value();
-                all_refused = all_refused && !result.answer && result.failure->kind() != error_kind::outcome_unknown;
-                if (!result.answer) CHECK(result.retry_after_s > 0);
+                ++outcome_counts[outcome(result)];
+                any_response = any_response || result.response.has_value();
+                none_may_have_run =
+                    none_may_have_run && !result.response && result.failure->kind() != error_kind::outcome_unknown;
+                if (!result.response) CHECK(result.retry_after_s > 0);
             }
             CHECK(runs[key] <= 1);
-            if (any_answer) CHECK(runs[key] == 1);
-            if (all_refused) CHECK(runs[key] == 0);
+            if (any_response) CHECK(runs[key] == 1);
+            if (none_may_have_run) CHECK(runs[key] == 0);
         }
         for (auto const& entry : fleet.entries)
-            CHECK(eventually([&] { return entry->writes.unrecorded() == 0; }));
-        report_tally("writes", seed, tally);
+            CHECK(eventually([&] { return entry->writes.pending_record_updates() == 0; }));
+        print_outcome_counts("writes", seed, outcome_counts);
         CHECK(invariant_violations() == 0);
     }
 }
