--- a/src/coordination/backend_tracker.cpp
+++ b/src/coordination/backend_tracker.cpp
@@ -1,4 +1,4 @@
-/** @file backend_tracker.cpp What an entry node has observed of the back ends, and the replica policies built on it. */
+/** @file backend_tracker.cpp Observations of the backend servers, and the replica policies based on them. */
 #include <cornelspring/coordination.hpp>
 
 #include <algorithm>
@@ -7,13 +7,13 @@
 namespace cornelspring {
 namespace {
 
-/** Replicas whose expected wait is within this factor of the lowest count as equal. */
+/** Replicas whose expected wait is at most this many times the lowest are treated as equal. */
 constexpr double wait_tolerance = 1.3;
-/** Largest doubling of the first ejection. */
+/** Maximum number of times that the ejection time is doubled. */
 constexpr int max_eject_doublings = 10;
-/** HTTP status of a back end that does not hold the shard at the pinned version. */
+/** HTTP status of a backend server that does not hold the shard at the pinned version. */
 constexpr int status_not_held = 409;
-/** HTTP status of a back end that sheds load or drains. */
+/** HTTP status of a backend server that sheds load or is draining. */
 constexpr int status_unavailable = 503;
 
 } // namespace
@@ -45,9 +45,10 @@
     case attempt_outcome::canceled: {
         auto sample = static_cast<double>(elapsed.count());
         double const weight = m_options.latency_weight;
-        // A cancelled request only shows that the latency is at least this, so it never lowers the average.
+        // A canceled request only shows that the latency is at least this, so it must not lower the average.
         if (outcome == attempt_outcome::canceled && sample < observed.latency_us) return;
-        // One straggler says little of the next request, many in a row say much: each may raise the average a bit.
+        // A single slow response says little about the next one, several in a row say a lot: the cap limits how
+        // far one sample raises the average.
         if (observed.latency_us > 0) sample = std::min(sample, observed.latency_us * m_options.outlier_factor);
         observed.latency_us = observed.latency_us == 0 ? sample : (1 - weight) * observed.latency_us + weight * sample;
         observed.sampled_at = now;
@@ -88,12 +89,13 @@
     auto const& observed = found->second;
     double latency = assumed;
     if (observed.latency_us > 0) {
-        // A back end that looked slow gets no requests and so no samples; forgetting lets it show itself again.
+        // A server with a high average gets no requests and so no new samples. Decay makes it eligible again.
         std::chrono::duration<double> const sample_age = std::max(clock::duration::zero(), now - observed.sampled_at);
         std::chrono::duration<double> const half_life = m_options.latency_half_life;
         latency = observed.latency_us * std::exp2(-sample_age / half_life);
     }
-    // Requests beyond the slots wait for one to end, so the expected wait grows with the queue per slot.
+    // A request that finds all slots in use waits for one to become free, so the expected wait grows with the
+    // number of requests per slot.
     double const queued = static_cast<double>(observed.in_flight) / std::max(1, target.slots);
     return latency * (1.0 + queued);
 }
@@ -130,7 +132,7 @@
         for (auto i : untried)
             waits.push_back(tracker.expected_wait_us(candidates[i], now));
         double const limit = *std::min_element(waits.begin(), waits.end()) * wait_tolerance;
-        // Entry nodes see the same back ends: a random choice among near equals keeps them from all picking one.
+        // All entry nodes observe the same servers. A random choice among near equals keeps them from all choosing one.
         std::vector<std::size_t> nearly_equal;
         for (std::size_t i = 0; i < untried.size(); ++i) {
             if (waits[i] <= limit) nearly_equal.push_back(untried[i]);
--- a/src/coordination/config_watcher.cpp
+++ b/src/coordination/config_watcher.cpp
@@ -1,12 +1,12 @@
-/** @file config_watcher.cpp Keeping the entry node's configuration equal to the store's. */
+/** @file config_watcher.cpp Keeps the entry node's configuration equal to the store's. */
 #include <cornelspring/coordination.hpp>
 
 namespace cornelspring {
 namespace {
 
-/** Longest a single watch call waits for a change. */
+/** Longest time that a single watch call waits for a change. */
 constexpr milliseconds watch_wait{3000};
-/** The wait after a failure lies between one and two retry delays, in this many steps. */
+/** The wait after a failure is random, between one and two retry delays, in this many steps. */
 constexpr int jitter_steps = 64;
 
 } // namespace
@@ -53,14 +53,16 @@
                 continue;
             }
             if (batch.cluster != m_view.current()->cluster) {
-                // Its revisions name other changes than those known here, and none says what was lost.
-                LOG4CPLUS_WARN(logger, "the store was restored from an older copy: known up to revision "
-                                           << after << ", now at " << batch.revision);
+                // The same revision stands for different changes in the restored store, and the watch does not report
+                // which changes were lost.
+                LOG4CPLUS_WARN(logger, "the store was restored from an older copy: local revision "
+                                           << after << ", store revision " << batch.revision);
                 need_full_read = true;
                 continue;
             }
-            // The reply's revision says that there is no other change up to it, so the next watch starts there:
-            // otherwise writes outside this prefix would push our start out of the store's history.
+            // There are no other changes under the prefix up to the response's revision, so the next watch starts
+            // there. If it started at the last change instead, writes outside this prefix would let the store compact
+            // the start revision.
             std::int64_t last = std::max(after, batch.revision);
             for (auto const& event : batch.events)
                 last = std::max(last, event.kv.mod_revision);
@@ -69,9 +71,9 @@
             }
             after = last;
         } catch (error const& failure) {
-            LOG4CPLUS_WARN(logger, "store watch failed: " << failure.what());
-            // Once synced, the watch goes on from where it was: after an outage no fleet reads everything at once.
-            // The wait is spread so that its calls do not come at one moment either.
+            LOG4CPLUS_WARN(logger, "store call of the configuration watch failed: " << failure.what());
+            // Once synced, the watch resumes from the last revision, so that after an outage the entry nodes do not all
+            // read everything at the same time. The random wait keeps their watch calls apart, too.
             auto const until = clock::now() + m_retry_delay + m_retry_delay * (random() % jitter_steps) / jitter_steps;
             while (!m_stopping && clock::now() < until)
                 std::this_thread::sleep_for(milliseconds(20));
--- a/src/coordination/membership.cpp
+++ b/src/coordination/membership.cpp
@@ -1,4 +1,4 @@
-/** @file membership.cpp Entry-node registration under a lease, renewed by heartbeat. */
+/** @file membership.cpp Registration of the entry node under a lease that is renewed by heartbeat. */
 #include <cornelspring/coordination.hpp>
 
 namespace cornelspring {
@@ -23,7 +23,7 @@
     try {
         m_store.revoke(m_lease.id);
     } catch (error const& failure) {
-        LOG4CPLUS_WARN(get_logger("entry.membership"), "cannot revoke lease: " << failure.what());
+        LOG4CPLUS_WARN(get_logger("entry.membership"), "cannot revoke the membership lease: " << failure.what());
     }
     m_lease = {};
 }
@@ -39,7 +39,7 @@
 
 void membership::run()
 {
-    // Heartbeat three times per lease period, so that two lost heartbeats in a row do not lapse it.
+    // Three heartbeats per time to live, so that the lease does not expire when two in a row are lost.
     auto const heartbeat_period = std::chrono::duration_cast<milliseconds>(std::chrono::seconds(m_ttl_s)) / 3;
     auto next_heartbeat = clock::now();
     while (!m_stopping) {
@@ -48,12 +48,14 @@
                 if (!m_registered) {
                     register_self();
                 } else if (m_store.keep_alive(m_lease.id) != m_lease.cluster) {
-                    // Restored from an older copy, the store may lack the key, or have given the lease's id to another.
+                    // The store was restored from an older copy: it may lack the key, or may have given the lease's id
+                    // to another client.
                     m_lease = {};
                     register_self();
                 }
             } catch (error const& failure) {
-                LOG4CPLUS_WARN(get_logger("entry.membership"), "heartbeat failed: " << failure.what());
+                LOG4CPLUS_WARN(get_logger("entry.membership"),
+                               "registration or lease renewal failed: " << failure.what());
                 if (failure.kind() == error_kind::not_found) {
                     m_lease = {};
                     m_registered = false;
--- a/src/coordination/scatter_gather.cpp
+++ b/src/coordination/scatter_gather.cpp
@@ -1,4 +1,4 @@
-/** @file scatter_gather.cpp Fan-out to every shard at one pinned index version, retries, hedges, and the merge. */
+/** @file scatter_gather.cpp Fan-out to every shard at one pinned index version, with retries, hedges and the merge. */
 #include <cornelspring/coordination.hpp>
 
 #include <algorithm>
@@ -6,55 +6,55 @@
 namespace cornelspring {
 namespace {
 
-/** Seconds a caller is told to wait when no shard could answer. */
+/** Retry-After in seconds when no shard responded. */
 constexpr int no_response_retry_after_s = 1;
-/** Hedge delays after which a query's shards are hedged however many are open. */
+/** A query older than this many hedge delays is hedged even when many of its shards are unfinished. */
 constexpr int hedge_all_after_delays = 4;
-/** Open shards that may always be hedged, however few the query has. */
+/** Hedging may always start when at most this many shards are unfinished, however few shards the query has. */
 constexpr std::size_t min_hedge_tail = 4;
 
 using std::chrono::microseconds;
 
 } // namespace
 
-/** One request of a shard that is still open. */
+/** One request for a shard that is in flight. */
 struct scatter_gather::attempt {
-    std::int32_t number = 0;   ///< Number of the request within its shard.
-    std::size_t candidate = 0; ///< Replica it went to.
+    std::int32_t number = 0;   ///< Number of the request within its shard, from 1.
+    std::size_t candidate = 0; ///< Replica it was sent to.
     call_id call;              ///< Transport call.
     time_point sent_at;        ///< When it was sent.
 };
 
-/** Per-query state; touched only on the client thread. */
+/** State of a query; used only on the client thread. */
 struct scatter_gather::query_state {
     /** One shard of the query. */
     struct shard_slot {
         std::vector<replica> const* candidates = nullptr; ///< Replicas holding the pinned version.
-        std::vector<bool> tried;                          ///< Which were tried in this round.
-        std::vector<attempt> open_attempts;               ///< Requests not yet ended.
-        std::int32_t tries = 0;                           ///< First try and retries.
-        std::int32_t hedges = 0;                          ///< Requests sent while another was open.
-        bool retry_scheduled = false;                     ///< A later retry is scheduled.
-        bool retryable = false;                           ///< A replica failed in a way that may pass.
-        bool finished = false;                            ///< Answered, or given up.
-        bool responded = false;                           ///< Its hits are in.
-        std::int64_t version = 0;                         ///< Index version its hits come from.
+        std::vector<bool> tried;                          ///< Replicas tried since the last wait.
+        std::vector<attempt> open_attempts;               ///< Requests in flight.
+        std::int32_t tries = 0;                           ///< First attempt and retries.
+        std::int32_t hedges = 0;                          ///< Requests sent while another was in flight.
+        bool retry_scheduled = false;                     ///< A retry waits for its backoff.
+        bool retryable = false;                           ///< A replica failed for a reason that may be temporary.
+        bool finished = false;                            ///< It responded, or is not tried any more.
+        bool responded = false;                           ///< Its hits were received.
+        std::int64_t version = 0;                         ///< Index version of its hits.
         std::vector<hit> hits;                            ///< Its hits.
     };
 
     query_request query;                             ///< The caller's request.
-    std::vector<std::string> terms;                  ///< Its words, split once for all shards.
-    std::shared_ptr<config_snapshot const> snapshot; ///< Configuration routed by.
+    std::vector<std::string> terms;                  ///< Its search terms, split once for all shards.
+    std::shared_ptr<config_snapshot const> snapshot; ///< Configuration to route by.
     std::int64_t version = 0;                        ///< Pinned index version.
-    std::uint64_t generation = 0;                    ///< Raised when the query starts over.
-    time_point started_at;                           ///< When its shards were first sent.
-    time_point deadline;                             ///< When the answer is due.
+    std::uint64_t generation = 0;                    ///< Incremented when the query restarts.
+    time_point started_at;                           ///< When the requests of this generation were first sent.
+    time_point deadline;                             ///< Time after which the caller no longer waits.
     std::vector<shard_slot> shards;                  ///< Shards by number.
-    std::size_t unfinished_shards = 0;               ///< Shards not yet settled.
+    std::size_t unfinished_shards = 0;               ///< Number of shards not finished.
     bool version_retired = false;                    ///< A replica no longer held the pinned version.
-    gather_result counts;                            ///< Counters of the result.
+    gather_result counts;                            ///< Counters for the result.
     bool finished = false;                           ///< done was called.
-    std::function<void(gather_result)> done;         ///< Result sink.
+    std::function<void(gather_result)> done;         ///< Receives the result.
 };
 
 scatter_gather::scatter_gather(h2_client& client, gather_options options, replica_chooser chooser,
@@ -152,7 +152,7 @@
 void scatter_gather::on_result(state_ptr const& state, std::uint64_t generation, std::size_t shard, std::int32_t number,
                                client_result result)
 {
-    // Requests of a settled shard, a finished query or an earlier generation were cancelled and report nothing.
+    // The requests of a finished shard, a finished query or an earlier generation were canceled: ignores their results.
     if (state->finished || generation != state->generation) return;
     auto& slot = state->shards[shard];
     auto const now = clock::now();
@@ -186,7 +186,7 @@
 {
     try {
         auto response = parse_message<shard_answer>(body, "shard answer");
-        // An answer counts only if it is for this request, this shard and the pinned version.
+        // The response must be for this request, this service, this shard and the pinned version.
         bool const matches = response.request_id == state.query.request_id &&
                              response.shard == static_cast<std::int32_t>(shard) &&
                              response.index_version == state.version && response.service == state.query.service;
@@ -197,7 +197,7 @@
         slot.responded = true;
         return true;
     } catch (error const&) {
-        return false; // A malformed answer is no answer: the shard is tried on another replica.
+        return false; // A malformed response counts as a failure: the shard is retried on another replica.
     }
 }
 
@@ -215,7 +215,7 @@
         ++state->counts.retries;
         return;
     }
-    // Every replica was tried. One that shed or lost a connection may serve a moment later.
+    // Every replica was tried. One that shed the request or lost its connection may be able to serve it later.
     auto const retry_at = now + m_options.retry_backoff * slot.tries;
     if (!slot.retryable || retry_at >= state->deadline) {
         finish_shard(state, shard);
@@ -249,8 +249,9 @@
     auto const now = clock::now();
     auto const delay = hedge_delay(state->query.service);
     m_client.run_at(now + delay, [this, state, generation] { hedge_slow_shards(state, generation); });
-    // While many shards are open the whole query is late, not a few stragglers: hedging all of them would spend the
-    // budget that the stragglers will need. If it stays so, many back ends are in trouble, and hedging begins.
+    // While many shards are unfinished, the query as a whole is late rather than a few slow shards, and hedging all of
+    // them would use up the budget that the slow ones need later. If many are still unfinished after
+    // hedge_all_after_delays, many backend servers are slow, and hedging starts.
     auto const tail = static_cast<std::size_t>(m_options.hedge_tail_share * static_cast<double>(state->shards.size()));
     bool const recently_started = now - state->started_at < delay * hedge_all_after_delays;
     if (recently_started && state->unfinished_shards > std::max(min_hedge_tail, tail)) return;
@@ -258,7 +259,7 @@
         auto& slot = state->shards[shard];
         if (slot.finished || slot.open_attempts.empty() || now - slot.open_attempts.back().sent_at < delay) continue;
         if (slot.hedges >= m_options.max_hedges_per_shard) continue;
-        // A replica that is already at work on the shard is not asked retry_at, unless every one is.
+        // Skips replicas with a request for this shard in flight, unless all of them have one.
         std::vector<bool> in_flight(slot.candidates->size(), false);
         for (auto const& item : slot.open_attempts)
             in_flight[item.candidate] = true;
@@ -277,7 +278,7 @@
     auto& slot = state.shards[shard];
     for (auto const& item : slot.open_attempts) {
         m_client.cancel(item.call);
-        ++state.counts.sent; // it may have been sent
+        ++state.counts.sent; // a canceled request may have been sent
         auto const elapsed = std::chrono::duration_cast<microseconds>(now - item.sent_at);
         m_tracker.on_finished((*slot.candidates)[item.candidate].name, attempt_outcome::canceled, elapsed, now);
     }
@@ -318,7 +319,7 @@
             response.missing.push_back(static_cast<std::int32_t>(shard));
             continue;
         }
-        check_invariant(slot.version == state->version, "one snapshot: every shard answered at the pinned version");
+        check_invariant(slot.version == state->version, "every shard response comes from the pinned index version");
         ++response.shards_answered;
         lists.push_back(std::move(slot.hits));
     }
@@ -328,11 +329,11 @@
         response.shards_total == 0 ? 0.0 : static_cast<double>(response.shards_answered) / response.shards_total;
     response.hits = merge_top_k(lists, static_cast<std::size_t>(state->query.k));
     gather_result result = std::move(state->counts);
-    check_invariant(result.sent <= result.attempts, "requests that reached back ends were dispatched");
+    check_invariant(result.sent <= result.attempts, "no more requests were sent than attempts were made");
     if (response.shards_answered > 0) {
         result.response = std::move(response);
     } else if (result.sent == 0) {
-        // Every request failed before a byte of it left this process, so no back end ran the query.
+        // Every request failed before any byte of it was sent, so no backend server ran the query.
         result.failure =
             error(error_kind::not_run, "no replica of '" + state->query.service + "' could take the query.",
                   "Come back after the time in Retry-After; the query did not run.");
--- a/src/coordination/store_client.cpp
+++ b/src/coordination/store_client.cpp
@@ -4,10 +4,10 @@
 namespace cornelspring {
 namespace {
 
-/** Extra time a watch call is given beyond its wait, so the store answers before the client gives up. */
+/** Added to the wait of a watch call as its timeout, so that the store responds before the call times out. */
 constexpr milliseconds watch_timeout_margin{2000};
 
-/** @return the error kind for an HTTP status from the store. */
+/** @return the error kind for an HTTP status of the store. */
 error_kind kind_for_status(int status)
 {
     switch (status) {
@@ -37,12 +37,12 @@
     auto result = m_client.call(m_store, json_post(path, body.dump()), timeout);
     if (result.outcome == send_outcome::not_sent) {
         throw error(error_kind::not_run,
-                    "the store at " + m_store.to_string() + " was not reached: " + result.detail + ".",
+                    "the store at " + m_store.to_string() + " cannot be reached: " + result.detail + ".",
                     "Check that the store runs; the call did not take effect and may be repeated.");
     }
     if (result.outcome == send_outcome::unknown) {
         throw error(error_kind::outcome_unknown,
-                    "no reply from the store at " + m_store.to_string() + " (" + result.detail + ").",
+                    "no response from the store at " + m_store.to_string() + " (" + result.detail + ").",
                     "Read the key back before repeating a write; it may have taken effect.");
     }
     auto response = nlohmann::json::parse(result.response.body, nullptr, false);
@@ -54,7 +54,8 @@
         throw error(kind_for_status(result.response.status), "store: " + message, remedy);
     }
     if (response.is_discarded()) {
-        throw error(error_kind::internal, "the store sent a body that is not JSON.", "Check the store's version.");
+        throw error(error_kind::internal, "the store sent a response body that is not JSON.",
+                    "Check the store's version.");
     }
     return response;
 }
@@ -119,11 +120,11 @@
             throw error(error_kind::outcome_unknown, failure.message(), "Read " + key + " back before writing again.");
         }
         if (result.succeeded || !may_have_been_written) return result;
-        // An earlier write of ours, whose reply was lost, may be what changed the key.
+        // The compare may have failed because of an earlier attempt of this call whose response was lost.
         auto const& kvs = result.range_kvs;
         if (kvs.empty() || kvs.front().value != value) {
             throw error(error_kind::outcome_unknown,
-                        key + " was changed meanwhile; whether this write came first is not known.",
+                        key + " was changed by another write; whether this write took effect before that is unknown.",
                         "Read it, and write again if the change is still wanted.");
         }
         result.succeeded = true;
--- a/src/coordination/vm_list_watcher.cpp
+++ b/src/coordination/vm_list_watcher.cpp
@@ -1,10 +1,10 @@
-/** @file vm_list_watcher.cpp Reading the platform's VM list for back ends that are leaving. */
+/** @file vm_list_watcher.cpp Reads the leaving backend servers from the platform's VM list. */
 #include <cornelspring/coordination.hpp>
 
 namespace cornelspring {
 namespace {
 
-/** How often the task looks whether it should stop. */
+/** Interval at which the task checks whether to stop. */
 constexpr milliseconds stop_check_interval{20};
 
 } // namespace
@@ -35,7 +35,7 @@
     http_request request;
     request.path = paths::vms;
     auto const result = m_client.call(m_options.address, std::move(request), m_options.timeout);
-    if (result.outcome != send_outcome::answered || result.response.status != 200) return; // keep what is known
+    if (result.outcome != send_outcome::answered || result.response.status != 200) return; // keep the last list
     auto const body = nlohmann::json::parse(result.response.body, nullptr, false);
     if (!body.is_object()) return;
     std::set<std::string> leaving;
--- a/src/coordination/write_coordinator.cpp
+++ b/src/coordination/write_coordinator.cpp
@@ -1,4 +1,4 @@
-/** @file write_coordinator.cpp Non-idempotent requests, run at most once through compare-and-swap records. */
+/** @file write_coordinator.cpp Runs non-idempotent requests at most once, by compare-and-swap records in the store. */
 #include <cornelspring/coordination.hpp>
 
 #include <future>
@@ -6,12 +6,12 @@
 namespace cornelspring {
 namespace {
 
-/** Seconds a caller is told to wait after a refusal. */
+/** Retry-After in seconds of a failed write. */
 constexpr int refused_retry_after_s = 1;
-/** A retention lease takes records for this fraction of the retention before the next is granted. */
+/** New records are bound to one retention lease for the retention time divided by this, then to a new lease. */
 constexpr std::int64_t leases_per_retention = 4;
 
-/** @return a failed result. */
+/** @return a result with the failure and a Retry-After. */
 write_result failed(error_kind kind, std::string const& message, std::string const& remedy)
 {
     write_result result;
@@ -20,21 +20,21 @@
     return result;
 }
 
-/** @return the result told to a caller whose request certainly did not run. */
+/** @return the result of a request that certainly did not run. */
 write_result not_run(std::string const& why)
 {
     return failed(error_kind::not_run, why + "; the request did not run.",
                   "Send it again with the same idempotency key after the time in Retry-After.");
 }
 
-/** @return the result told to a caller whose request may have run. */
+/** @return the result of a request that may have run. */
 write_result outcome_unknown(std::string const& why)
 {
     return failed(error_kind::outcome_unknown, why + "; whether the request ran is not known.",
                   "It will not be run again under this key. Ask again later, or check with the service.");
 }
 
-/** @return the hash that tells one request from another under the same key. */
+/** @return a hash of the request, to detect another request under the same key. */
 std::string request_fingerprint(write_request const& request)
 {
     return fingerprint(nlohmann::json{request.service, request.entity, request.body}.dump());
@@ -42,20 +42,20 @@
 
 } // namespace
 
-/** What a claim attempt found. */
+/** Outcome of claiming a key. */
 struct write_coordinator::claim_result {
-    bool owned = false;                   ///< The key is ours: the request may be sent.
+    bool owned = false;                   ///< This submission has claimed the key: the request may be sent.
     std::optional<write_record> existing; ///< Record of an earlier submission.
-    bool timed_out = false;               ///< The store did not answer in time; nothing may be sent.
-    std::string value;                    ///< The record as written, when owned.
+    bool timed_out = false;               ///< The store did not respond in time; nothing may be sent.
+    std::string value;                    ///< The record as written to the store, when owned.
 };
 
-/** How the back ends dealt with a claimed request. */
+/** Outcome of sending a claimed request to backend servers. */
 struct write_coordinator::dispatch_result {
-    std::optional<write_answer> response; ///< It ran.
-    bool may_have_run = false;            ///< It was sent and no final answer came.
+    std::optional<write_answer> response; ///< The response, when the request ran.
+    bool may_have_run = false;            ///< It was sent and there was no conclusive response.
     bool expired = false;                 ///< The deadline passed before anything was sent.
-    bool reached = false;                 ///< Some back end received it (and refused it, unless may_have_run).
+    bool reached = false; ///< A backend server may have received it (and rejected it, unless it ran or may have run).
 };
 
 write_coordinator::write_coordinator(store_client& store, h2_client& client, replica_chooser chooser,
@@ -179,7 +179,7 @@
     claim_result result;
     result.value = nlohmann::json(own_record).dump();
     auto const until = std::min(deadline, clock::now() + m_options.claim_timeout);
-    std::int64_t expected = 0; // the record must not exist
+    std::int64_t expected = 0; // there must be no record
     bool may_have_been_written = false;
     while (clock::now() < until) {
         try {
@@ -193,13 +193,13 @@
                 return result;
             }
             if (outcome.range_kvs.empty()) {
-                expected = 0; // a released record ran out in between
+                expected = 0; // a released record expired since the last attempt
                 continue;
             }
             auto const& found = outcome.range_kvs.front();
             auto const record = nlohmann::json::parse(found.value).get<write_record>();
             if (record.claim == own_record.claim && record.state == write_state::claimed) {
-                result.owned = true; // an earlier try elapsed effect and its reply was lost
+                result.owned = true; // an earlier attempt took effect and its response was lost
                 return result;
             }
             if (record.state != write_state::released) {
@@ -211,15 +211,15 @@
             if (failure.kind() == error_kind::outcome_unknown) may_have_been_written = true;
             if (failure.kind() == error_kind::not_found) {
                 std::lock_guard lock(m_mutex);
-                m_lease = 0; // the retention lease lapsed: take a new one
+                m_lease = 0; // the retention lease expired: grant a new one
             }
             std::this_thread::sleep_for(m_options.retry_delay);
         }
     }
     result.timed_out = true;
     if (may_have_been_written) {
-        // The claim may be in the store, or may still arrive there. A released record in its place lets the
-        // caller's next submission claim the key, and makes a late claim fail its compare.
+        // The claim may be in the store, or may still arrive there. Replacing it by a released record lets the
+        // caller's next submission claim the key, and makes the compare of a late claim fail.
         write_record released = own_record;
         released.state = write_state::released;
         update_record({key, result.value, nlohmann::json(released).dump()});
@@ -262,7 +262,7 @@
         auto const started_at = clock::now();
         auto const time_left = std::chrono::duration_cast<milliseconds>(task.deadline - started_at);
         if (time_left.count() <= 0) {
-            // The time is read just before each send: a process paused after its claim does not send late.
+            // The clock is read just before each send, so that a process paused after its claim does not send late.
             result.expired = !result.reached;
             return result;
         }
@@ -280,9 +280,9 @@
         }
         auto const failure = classify_failure(call_result);
         update_tracker(target.name, failure, elapsed);
-        if (call_result.outcome == send_outcome::not_sent) continue; // it never left this process: another may run it
+        if (call_result.outcome == send_outcome::not_sent) continue; // it was not sent, so another replica may run it
         result.reached = true;
-        if (failure != attempt_outcome::failed) continue; // refused explicitly: it did not run there
+        if (failure != attempt_outcome::failed) continue; // rejected explicitly: it did not run there
         result.may_have_run = true;
         return result;
     }
@@ -329,8 +329,8 @@
     request.success.push_back({txn_op::kind::put, change.key, "", change.to, lease});
     request.failure.push_back({txn_op::kind::range, change.key, "", "", 0});
     auto const outcome = m_store.txn(request);
-    if (outcome.succeeded || !outcome.range_kvs.empty()) return true; // written, or written before
-    // The claim never arrived. Leave the new state, so that the claim cannot take effect later.
+    if (outcome.succeeded || !outcome.range_kvs.empty()) return true; // written now, or the record has changed since
+    // The claim is not in the store. Write the new state, so that a claim that arrives later cannot take effect.
     txn_request create;
     create.compares.push_back({change.key, compare_target::mod_revision, 0, ""});
     create.success.push_back({txn_op::kind::put, change.key, "", change.to, lease});
@@ -342,7 +342,7 @@
     try {
         if (try_update(change)) return;
     } catch (error const& failure) {
-        LOG4CPLUS_WARN(get_logger("entry.write"), "record update postponed: " << failure.what());
+        LOG4CPLUS_WARN(get_logger("entry.write"), "record update queued for retry: " << failure.what());
     }
     std::lock_guard lock(m_mutex);
     m_updates.push_back(std::move(change));
--- a/src/entry/entry_service.cpp
+++ b/src/entry/entry_service.cpp
@@ -10,7 +10,7 @@
 namespace cornelspring {
 namespace {
 
-/** Seconds a caller is told to wait before trying another entry node while this one drains. */
+/** Retry-After in seconds of the response sent while this entry node drains. */
 constexpr int draining_retry_after_s = 1;
 
 /** Latency buckets of the query histogram, in seconds. */
@@ -180,7 +180,8 @@
         if (!include_self && id == m_config.id) continue;
         (node.failure_domain == m_config.failure_domain ? same_domain : other_domains).push_back(node.address);
     }
-    // Each caller gets another order and, in a large fleet, another part, so that callers spread over the nodes.
+    // Each caller gets another order and, if there are more nodes than the limit, another subset, so that callers
+    // spread over the nodes.
     std::shuffle(same_domain.begin(), same_domain.end(), m_random);
     std::shuffle(other_domains.begin(), other_domains.end(), m_random);
     same_domain.insert(same_domain.end(), other_domains.begin(), other_domains.end());
--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -8,12 +8,13 @@
 
 /** Settings of cornel-entry. */
 std::vector<setting_def> const entry_settings = {
-    {"id", setting_type::text, std::nullopt, 0, 0, "entry node id, unique in the fleet"},
+    {"id", setting_type::text, std::nullopt, 0, 0, "entry node id, unique among the entry nodes"},
     {"failure_domain", setting_type::text, setting_value{std::string("")}, 0, 0, "failure domain of this VM"},
     {"listen.host", setting_type::text, setting_value{std::string("127.0.0.1")}, 0, 0, "address to bind"},
-    {"listen.port", setting_type::integer, setting_value{std::int64_t{8080}}, 0, 65535, "TCP port; 0 picks one"},
+    {"listen.port", setting_type::integer, setting_value{std::int64_t{8080}}, 0, 65535,
+     "TCP port; 0 selects a free one"},
     {"advertise", setting_type::text, setting_value{std::string("")}, 0, 0,
-     "host:port callers use; empty takes listen.host and the bound port"},
+     "host:port that callers use; empty means listen.host and the bound port"},
     {"store.address", setting_type::text, setting_value{std::string("127.0.0.1:2379")}, 0, 0,
      "host:port of the platform store"},
     {"store.timeout_ms", setting_type::integer, setting_value{std::int64_t{2000}}, 10, 60000,
@@ -23,45 +24,45 @@
     {"lease_ttl_s", setting_type::integer, setting_value{std::int64_t{6}}, 2, 3600,
      "time to live of the membership lease, in seconds"},
     {"entries_ttl_s", setting_type::integer, setting_value{std::int64_t{30}}, 1, 3600,
-     "how long callers keep the list of entry addresses, in seconds"},
+     "how long callers may keep the list of entry addresses, in seconds"},
     {"entries_limit", setting_type::integer, setting_value{std::int64_t{16}}, 1, 1000,
-     "most entry addresses given to one caller; same failure domain first"},
+     "maximum number of entry addresses returned to a caller; same failure domain first"},
     {"query.default_deadline_ms", setting_type::integer, setting_value{std::int64_t{1000}}, 1, 60000,
-     "deadline of a query that gives none, in milliseconds"},
+     "deadline of a query that sets none, in milliseconds"},
     {"query.max_tries_per_shard", setting_type::integer, setting_value{std::int64_t{4}}, 1, 10,
-     "first try and retries of one shard"},
+     "maximum of the first attempt and the retries of one shard"},
     {"query.policy", setting_type::text, setting_value{std::string("adaptive")}, 0, 0,
-     "replica choice: adaptive (measured latency and load) or random (the plain baseline)"},
+     "replica policy: adaptive (measured latency and load) or random (the baseline)"},
     {"query.retry_ratio", setting_type::floating, setting_value{0.2}, 0, 10,
      "retries allowed per shard request in the long run"},
     {"query.retry_burst", setting_type::integer, setting_value{std::int64_t{200}}, 0, 100000,
      "retries allowed at once"},
     {"query.hedge", setting_type::boolean, setting_value{true}, 0, 0,
-     "send a second request for a shard that is slower than most"},
+     "send a second request for a shard slower than query.hedge_quantile"},
     {"query.hedge_quantile", setting_type::floating, setting_value{0.95}, 0.5, 0.999,
-     "a shard slower than this quantile of recent answers is hedged"},
+     "a shard slower than this quantile of recent responses is hedged"},
     {"query.hedge_ratio", setting_type::floating, setting_value{0.05}, 0, 1,
      "hedges allowed per shard request in the long run"},
     {"query.hedge_burst", setting_type::integer, setting_value{std::int64_t{50}}, 0, 100000, "hedges allowed at once"},
     {"write.workers", setting_type::integer, setting_value{std::int64_t{8}}, 1, 256,
-     "non-idempotent requests carried at once"},
+     "non-idempotent requests in progress at the same time"},
     {"write.queue_limit", setting_type::integer, setting_value{std::int64_t{256}}, 1, 100000,
-     "non-idempotent requests waiting; more are refused as not run"},
+     "maximum number of queued non-idempotent requests; more are rejected as not run"},
     {"write.default_deadline_ms", setting_type::integer, setting_value{std::int64_t{2000}}, 1, 60000,
-     "deadline of a non-idempotent request that gives none, in milliseconds"},
+     "deadline of a non-idempotent request that sets none, in milliseconds"},
     {"write.retention_s", setting_type::integer, setting_value{std::int64_t{86400}}, 60, 31536000,
-     "how long an idempotency key is remembered, in seconds"},
+     "how long the record of an idempotency key is kept, in seconds"},
     {"vm_list.address", setting_type::text, setting_value{std::string("")}, 0, 0,
-     "host:port of the platform's VM list; empty: not read"},
+     "host:port of the platform's VM list; empty means that it is not read"},
     {"vm_list.interval_ms", setting_type::integer, setting_value{std::int64_t{1000}}, 100, 60000,
      "time between reads of the VM list, in milliseconds"},
     {"max_connections", setting_type::integer, setting_value{std::int64_t{1024}}, 16, 65000,
-     "caller connections accepted"},
+     "maximum number of caller connections"},
     {"max_body_bytes", setting_type::integer, setting_value{std::int64_t{65536}}, 256, 1 << 24,
      "largest caller request body, in bytes"},
-    {"ready_file", setting_type::text, setting_value{std::string()}, 0, 0, "file that receives the bound port"},
+    {"ready_file", setting_type::text, setting_value{std::string()}, 0, 0, "file to which the bound port is written"},
     {"drain_ms", setting_type::integer, setting_value{std::int64_t{5000}}, 0, 600000,
-     "longest wait for queries in flight at SIGTERM, in milliseconds"},
+     "longest wait for requests in flight at SIGTERM, in milliseconds"},
 };
 
 /** @return the replica policy named @p name. @throw error bad_settings when unknown. */
@@ -99,7 +100,7 @@
     return options;
 }
 
-/** @return the task that reads the platform's VM list, or null when none is set. */
+/** @return the task that reads the platform's VM list, or null when no address is set. */
 std::unique_ptr<vm_list_watcher> make_vm_list_watcher(settings const& config, h2_client& client,
                                                       backend_tracker& tracker)
 {
@@ -110,7 +111,7 @@
     return std::make_unique<vm_list_watcher>(client, tracker, options);
 }
 
-/** @return this node's identity and what callers are told. */
+/** @return this node's identity and the settings of the list of entry addresses. */
 entry_config make_entry_config(settings const& config)
 {
     entry_config identity;
@@ -121,7 +122,7 @@
     return identity;
 }
 
-/** @return the caller-facing listener's address and limits. */
+/** @return the address and limits of the listener for callers. */
 server_options make_server_options(settings const& config)
 {
     server_options listen;
@@ -165,7 +166,7 @@
     if (!config.text("ready_file").empty()) write_file_atomic(config.text("ready_file"), std::to_string(server.port()));
 
     wait_for_stop_signal();
-    LOG4CPLUS_INFO(logger, "stopping: leaving the member list and draining");
+    LOG4CPLUS_INFO(logger, "stopping: removing the registration and draining");
     auto const drain_until = clock::now() + milliseconds(config.integer("drain_ms"));
     service.start_drain();
     members.leave();
@@ -173,9 +174,10 @@
         server.drain(std::max(milliseconds(0), std::chrono::ceil<milliseconds>(drain_until - clock::now())));
     while (writes->pending_record_updates() > 0 && clock::now() < drain_until)
         std::this_thread::sleep_for(milliseconds(10));
-    LOG4CPLUS_INFO(logger, "stopped; queries cut off: " << unfinished_requests << ", write outcomes unrecorded: "
-                                                        << writes->pending_record_updates());
-    // The tasks that wait for store calls end before the client whose thread completes those calls.
+    LOG4CPLUS_INFO(logger, "stopped; requests not finished: " << unfinished_requests
+                                                              << ", write outcomes not recorded: "
+                                                              << writes->pending_record_updates());
+    // The tasks that wait for store calls must stop before the client, whose thread completes those calls.
     vm_list.reset();
     writes.reset();
     watcher.stop();
