--- a/tests/local_fleet.cpp
+++ b/tests/local_fleet.cpp
@@ -1,4 +1,4 @@
-/** @file local_fleet.cpp The in-process deployment of the contract tests and randomised runs. */
+/** @file local_fleet.cpp The in-process deployment of the contract tests and the randomised tests. */
 #include "local_fleet.hpp"
 
 #include <future>
@@ -6,11 +6,11 @@
 namespace cornelspring::testing {
 namespace {
 
-/** Documents of the corpus used: enough for every shard to have hits, few enough to index quickly. */
+/** Documents taken from the corpus: enough for every shard to have hits, few enough to index quickly. */
 constexpr std::size_t corpus_documents = 1200;
-/** Folder of the corpus package. */
+/** Directory of the corpus package. */
 constexpr char const* corpus_folder = "/usr/share/games/fortunes";
-/** Timeout of a call to a stand-in's fault interface. */
+/** Timeout of a call to a stand-in. */
 constexpr milliseconds fault_timeout{5000};
 
 /** @return server options for a free loopback port. */
@@ -48,7 +48,7 @@
     request.path = path;
     request.body = body.dump();
     client_result result;
-    // The connection may have been silenced by an earlier fault; a new one works.
+    // An earlier fault may have silenced the connection; a later attempt uses a new one.
     eventually([&] {
         result = client.call(address(), request, fault_timeout);
         return result.outcome == send_outcome::answered;
@@ -148,7 +148,7 @@
 std::int64_t local_fleet::publish()
 {
     store_client writer(m_client, store.address(), fault_timeout);
-    // The store may be under a fault: a put is idempotent, so it is repeated until it is accepted.
+    // The store may have a fault. A put is idempotent, so it is repeated until it succeeds.
     auto put = [&](resource const& item) {
         std::int64_t accepted = 0;
         eventually([&] {
--- a/tests/random_run.hpp
+++ b/tests/random_run.hpp
@@ -1,4 +1,4 @@
-/** @file random_run.hpp Seeds and length of the randomised runs, and the printing of what they did. */
+/** @file random_run.hpp Seeds and length of the randomised tests, and a summary of their outcomes. */
 #pragma once
 
 #include <cstdint>
@@ -10,14 +10,14 @@
 
 namespace cornelspring::testing {
 
-/** @return the number in environment variable @p name, or @p fallback. */
+/** @return the number in environment variable @p name, or @p fallback if it is not set. */
 inline int number_from_environment(char const* name, int fallback)
 {
     char const* text = std::getenv(name);
     return text == nullptr ? fallback : std::atoi(text);
 }
 
-/** @return the seeds to run: a fixed list, or 1..CORNEL_RANDOM_SEEDS for a longer run. */
+/** @return the seeds to run: a fixed list, or 1 to CORNEL_RANDOM_SEEDS when that is set. */
 inline std::vector<std::uint64_t> random_seeds()
 {
     int const count = number_from_environment("CORNEL_RANDOM_SEEDS", 0);
@@ -28,10 +28,10 @@
     return seeds;
 }
 
-/** @return requests started per seed; CORNEL_RANDOM_STEPS sets it. */
+/** @return steps per seed (each starts one request): CORNEL_RANDOM_STEPS, or a default. */
 inline int steps_per_seed() { return number_from_environment("CORNEL_RANDOM_STEPS", 150); }
 
-/** Prints how often each outcome came, so that a run that provoked nothing is seen. */
+/** Prints the number of each outcome, which shows whether the run's faults had any effect. */
 inline void print_outcome_counts(char const* what, std::uint64_t seed, std::map<std::string, int> const& outcome_counts)
 {
     std::cout << what << " seed " << seed << ":";
--- a/tests/test_coordination_contract.cpp
+++ b/tests/test_coordination_contract.cpp
@@ -1,4 +1,4 @@
-/** @file test_coordination_contract.cpp Store client, membership, configuration and leaving back ends under faults. */
+/** @file test_coordination_contract.cpp Store client, registration, configuration and leaving servers under faults. */
 #include "local_fleet.hpp"
 #include "random_run.hpp"
 
@@ -25,7 +25,7 @@
 /** Timeout of store calls in these tests. */
 constexpr milliseconds short_timeout{300};
 
-/** Queries in a row without new work at a leaving back end that count as closed. */
+/** A leaving backend server gets no new work if it ran none of this many consecutive queries. */
 constexpr int queries_without_new_work = 50;
 
 /** A store with one client. */
@@ -37,7 +37,7 @@
 
 } // namespace
 
-TEST_CASE("a store write under each fault says whether it took effect")
+TEST_CASE("under each fault, a store write reports whether it took effect")
 {
     struct fault_case {
         std::string name;
@@ -52,7 +52,7 @@
              b.store.set_faults({{"outage_ms", 60000}});
          },
          "unavailable", false},
-        {"reply lost after the write",
+        {"response lost after the write",
          [](store_fixture& b) {
              b.store.set_faults({{"lose_replies", 1}});
          },
@@ -78,7 +78,7 @@
     }
 }
 
-TEST_CASE("a store that is not there is reported as not run")
+TEST_CASE("a call to a store that is not running is reported as not run")
 {
     std::uint16_t port = 0;
     {
@@ -90,18 +90,18 @@
     CHECK(kind_of([&] { client.put("k", "v"); }) == "not_run");
 }
 
-TEST_CASE("a compare-and-swap whose reply is lost is settled by reading back, and applied once")
+TEST_CASE("a compare-and-swap whose response is lost is applied once, and its outcome is found by reading the key")
 {
     struct fault_case {
         std::string name;
         nlohmann::json fault;
-        std::int64_t versions; ///< Writes the key has seen in the end.
+        std::int64_t versions; ///< Number of writes to the key at the end.
     };
     fault_case const cases[] = {
         {"no fault", nlohmann::json::object(), 1},
-        {"reply lost once", {{"lose_replies", 1}}, 1},
-        {"reply lost three times", {{"lose_replies", 3}}, 1},
-        {"refused twice", {{"refuse_writes", 2}}, 1},
+        {"response lost once", {{"lose_replies", 1}}, 1},
+        {"response lost three times", {{"lose_replies", 3}}, 1},
+        {"rejected twice", {{"refuse_writes", 2}}, 1},
     };
     for (auto const& item : cases) {
         CAPTURE(item.name);
@@ -111,20 +111,20 @@
         auto const found = fixture.client.get("k").first;
         REQUIRE(found.has_value());
         CHECK(found->version == item.versions);
-        // Someone else's write in between is seen, not overwritten.
+        // A write by another client is detected and not overwritten.
         CHECK_FALSE(fixture.client.compare_and_swap("k", 0, "late").succeeded);
         CHECK(fixture.client.get("k").first->value == "mine");
     }
 }
 
-TEST_CASE("randomised: of operators racing on one resource, no accepted change is lost or made twice")
+TEST_CASE("randomised: when operators write one resource concurrently, no accepted change is lost or applied twice")
 {
     for (auto seed : random_seeds()) {
         CAPTURE(seed);
         local_store store;
         std::atomic<bool> done{false};
         std::mutex mutex;
-        std::map<std::string, bool> accepted; ///< Token to whether its write was reported as accepted.
+        std::map<std::string, bool> accepted; ///< Whether the write was reported as accepted, by token.
         auto const operate = [&](int number) {
             h2_client transport;
             store_client client(transport, store.address(), milliseconds(100));
@@ -135,7 +135,7 @@
                     auto const before = client.get("k").first.value_or(key_value{});
                     written = client.compare_and_swap("k", before.mod_revision, before.value + token + " ").succeeded;
                 } catch (error const& failure) {
-                    if (failure.kind() == error_kind::outcome_unknown) continue; // says nothing either way
+                    if (failure.kind() == error_kind::outcome_unknown) continue; // it may or may not be present
                 }
                 std::lock_guard lock(mutex);
                 accepted[token] = written;
@@ -174,7 +174,7 @@
     }
 }
 
-TEST_CASE("an entry node that restarts during a store outage serves nothing old afterwards")
+TEST_CASE("an entry node that restarts during a store outage does not serve an old configuration afterwards")
 {
     local_fleet fleet(2, 2, 2, 4);
     REQUIRE(fleet.wait_until_applied(fleet.publish()));
@@ -198,7 +198,7 @@
     }
 }
 
-TEST_CASE("an entry node is listed again after each membership fault")
+TEST_CASE("an entry node is registered in spite of each store fault, and again after its lease expired")
 {
     struct fault_case {
         std::string name;
@@ -206,19 +206,19 @@
     };
     fault_case const cases[] = {
         {"no fault", [](store_fixture&) {}},
-        {"reply to the lease grant lost",
+        {"response to the lease grant lost",
          [](store_fixture& b) {
              b.store.set_faults({{"lose_replies", 1}});
          }},
-        {"two replies to the lease grant lost",
+        {"two responses to the lease grant lost",
          [](store_fixture& b) {
              b.store.set_faults({{"lose_replies", 2}});
          }},
-        {"reply to the registration lost",
+        {"response to the registration lost",
          [](store_fixture& b) {
              b.store.set_faults({{"skip_writes", 1}, {"lose_replies", 1}});
          }},
-        {"registration refused after the lease was granted",
+        {"registration rejected after the lease was granted",
          [](store_fixture& b) {
              b.store.set_faults({{"skip_writes", 1}, {"refuse_writes", 1}});
          }},
@@ -240,19 +240,19 @@
                    reader.range_prefix(member_prefix).kvs.size() == 1;
         };
         CHECK(eventually(listed));
-        // The lease lapses while its holder cannot renew it (an outage longer than the lease), then it comes back.
+        // An outage longer than the time to live makes the lease expire; after it the entry node registers again.
         fixture.store.set_faults({{"outage_ms", 3000}});
         CHECK(eventually([&] { return !listed(); }));
         CHECK(eventually(listed));
     }
 }
 
-TEST_CASE("an accepted change reaches every entry node under each fault and none goes back")
+TEST_CASE("under each fault, an accepted change reaches every entry node")
 {
     struct fault_case {
         std::string name;
-        std::function<void(local_fleet&)> inject; ///< Just after the change was accepted.
-        milliseconds bound;                       ///< Time within which every entry node must have it.
+        std::function<void(local_fleet&)> inject; ///< Called just before the change is written.
+        milliseconds bound;                       ///< Time within which every entry node should have applied it.
     };
     fault_case const cases[] = {
         {"no fault", [](local_fleet&) {}, milliseconds(4000)},
@@ -273,7 +273,7 @@
         CAPTURE(item.name);
         local_fleet fleet(2, 9, 2, 2);
         REQUIRE(fleet.wait_until_applied(fleet.publish()));
-        std::this_thread::sleep_for(milliseconds(100)); // every watch waits
+        std::this_thread::sleep_for(milliseconds(100)); // until every watch call is waiting
         item.inject(fleet);
         fleet.published_version = 1;
         h2_client transport;
@@ -292,12 +292,12 @@
         }));
         CHECK(fleet.wait_until_applied(accepted));
         auto const took = std::chrono::duration_cast<milliseconds>(clock::now() - started_at);
-        MESSAGE(item.name << ": 9 entry nodes converged in " << took.count() << " ms after acceptance");
+        MESSAGE(item.name << ": 9 entry nodes converged in " << took.count() << " ms after the change was accepted");
         fleet.clear_faults();
     }
 }
 
-TEST_CASE("a watcher is not thrown back to a full read by writes outside the configuration")
+TEST_CASE("writes outside the configuration do not force a watcher to read everything again")
 {
     store_fixture fixture;
     fixture.client.put(resource_key(resource_kind::route, "r"),
@@ -311,7 +311,7 @@
     std::int64_t last = 0;
     for (int i = 0; i < 50; ++i)
         last = writer.put(std::string(write_prefix) + "svc/" + std::to_string(i), "{}");
-    // The view's revision follows the store though nothing under its prefix changed.
+    // The view's revision follows the store's although no key under its prefix has changed.
     CHECK(eventually([&] { return view.current()->revision >= last; }));
 }
 
@@ -346,7 +346,7 @@
     CHECK(eventually([&] { return view.current()->members.size() == 1; }));
 }
 
-TEST_CASE("after an outage the watch goes on from where it was, without a full read")
+TEST_CASE("after an outage the watch resumes from the last revision, without a full read")
 {
     local_fleet fleet(2, 3, 2, 2);
     REQUIRE(fleet.wait_until_applied(fleet.publish()));
@@ -365,11 +365,11 @@
     CHECK(full_reads() == before);
 }
 
-TEST_CASE("a leaving back end gets no new work, whichever signal tells of it")
+TEST_CASE("a leaving backend server gets no new work, whichever signal reports it")
 {
     struct signal_case {
         std::string name;
-        std::function<void(local_fleet&)> leave; ///< Tells that back end 0 is leaving.
+        std::function<void(local_fleet&)> leave; ///< Makes backend server 0 leave, or reports that it does.
     };
     signal_case const cases[] = {
         {"its own drain signal", [](local_fleet& f) { f.backends[0]->service.set_faults({.draining = true}); }},
@@ -378,7 +378,7 @@
              f.store.set_faults({{"vm_lag_ms", 500}});
              f.store.set_vm_state(f.backends[0]->address().to_string(), "leaving");
          }},
-        {"only failed requests: it is gone", [](local_fleet& f) { f.backends[0]->server.set_frozen(true); }},
+        {"only failed requests: it no longer responds", [](local_fleet& f) { f.backends[0]->server.set_frozen(true); }},
     };
     for (auto const& item : cases) {
         CAPTURE(item.name);
@@ -398,10 +398,10 @@
             if (result.response) CHECK(result.response->coverage == doctest::Approx(1.0));
         };
         for (int i = 0; i < queries_without_new_work; ++i)
-            send_query(); // every back end is known and used
+            send_query(); // until every backend server has been used
         auto const signaled_at_ms = std::chrono::duration_cast<milliseconds>(clock::now().time_since_epoch()).count();
         item.leave(fleet);
-        // Queries go on until many in a row found it closed to new work.
+        // Sends queries until the server has run none of many consecutive ones.
         int last_at_leaving = 0;
         CHECK(eventually([&] {
             send_query();
@@ -416,7 +416,7 @@
             if (entry.event == journal_event::refused) ++refused;
             if (entry.event == journal_event::ran) last_ms = std::max(last_ms, entry.at_ms);
         }
-        // It is left alone, not asked and refused again and again.
+        // It is not sent many requests that it then rejects.
         CHECK(refused <= queries_without_new_work / 5);
         MESSAGE(item.name << ": last new work " << last_ms - signaled_at_ms << " ms after the signal");
         fleet.clear_faults();
--- a/tests/test_query_contract.cpp
+++ b/tests/test_query_contract.cpp
@@ -1,4 +1,7 @@
-/** @file test_query_contract.cpp One snapshot, true coverage, own answers, true "not run": faults and random mixes. */
+/**
+ * @file test_query_contract.cpp Query responses under each fault and under random faults: hits of one index version
+ * only, correct coverage, no hits of other queries, and no attempt at a query reported as not run.
+ */
 #include "local_fleet.hpp"
 #include "random_run.hpp"
 
@@ -11,10 +14,10 @@
 
 namespace {
 
-/** Words that queries are made of; all occur in the corpus. */
+/** Search terms of the queries; all occur in the corpus. */
 char const* const words[] = {"love", "war", "sea", "life", "time", "court", "money", "work", "god", "computer"};
 
-/** Queries asked under each fault of the table. */
+/** Queries sent with each fault of the table. */
 constexpr int queries_per_fault = 4;
 
 /** @return a query of two random words. */
@@ -35,7 +38,7 @@
     return query;
 }
 
-/** @return the shards that @p response says contributed. */
+/** @return the shards that contributed according to @p response. */
 std::set<std::int32_t> contributing_shards(query_answer const& response)
 {
     std::set<std::int32_t> shards;
@@ -46,7 +49,7 @@
     return shards;
 }
 
-/** Checks @p result against an index built apart from the fleet, and against the back ends' own journals. */
+/** Checks @p result against an index built without the fleet, and against the journals of the backend servers. */
 void check_result(local_fleet& fleet, query_request const& query, gather_result const& result,
                   std::set<std::string> const& received,
                   std::set<std::tuple<std::string, std::int32_t, std::int64_t>> const& ran)
@@ -66,7 +69,7 @@
     CHECK(response.coverage == doctest::Approx(static_cast<double>(shards.size()) / response.shards_total));
     for (auto shard : shards)
         CHECK(ran.count({query.request_id, shard, response.index_version}) == 1);
-    // The hits are exactly those of the one version's contributing shards: nothing mixed in, nothing lost.
+    // The hits are exactly those of the contributing shards at that version: none added, none lost.
     auto const expected =
         fleet.expected_hits(response.index_version, shards, query.query, static_cast<std::size_t>(query.k));
     REQUIRE(response.hits.size() == expected.size());
@@ -74,7 +77,7 @@
         CHECK(response.hits[i].doc == expected[i].doc);
 }
 
-/** Back ends' journals as look-up sets. */
+/** The backend servers' journals as sets, for lookup. */
 struct journal_sets {
     std::set<std::string> received;
     std::set<std::tuple<std::string, std::int32_t, std::int64_t>> ran;
@@ -90,43 +93,44 @@
 
 } // namespace
 
-TEST_CASE("a query under each fault: coverage, version and refusals are true")
+TEST_CASE("under each fault, the coverage, the index version and the reported failure of a query are correct")
 {
     struct fault_case {
         std::string name;
         std::function<void(local_fleet&)> inject;
-        double coverage;     ///< Expected coverage; -1 when refused.
-        char const* refusal; ///< Expected error kind when refused.
+        double coverage;     ///< Expected coverage; -1 when the query must fail.
+        char const* refusal; ///< Expected error kind when the query must fail.
     };
     fault_case const cases[] = {
         {"no fault", [](local_fleet&) {}, 1.0, ""},
-        {"one back end frozen", [](local_fleet& f) { f.backends[0]->server.set_frozen(true); }, 1.0, ""},
-        {"one back end's connections silent", [](local_fleet& f) { f.backends[1]->server.silence_open_connections(); },
-         1.0, ""},
-        {"every connection silent at once",
+        {"one backend server frozen", [](local_fleet& f) { f.backends[0]->server.set_frozen(true); }, 1.0, ""},
+        {"one backend server's connections silent",
+         [](local_fleet& f) { f.backends[1]->server.silence_open_connections(); }, 1.0, ""},
+        {"all connections silent at the same time",
          [](local_fleet& f) {
              for (auto const& backend : f.backends)
                  backend->server.silence_open_connections();
          },
          1.0, ""},
-        {"one back end sheds", [](local_fleet& f) { f.backends[0]->service.set_faults({.shed_probability = 1.0}); },
-         1.0, ""},
-        {"one back end drains", [](local_fleet& f) { f.backends[0]->service.set_faults({.draining = true}); }, 1.0, ""},
-        {"one back end garbles", [](local_fleet& f) { f.backends[0]->service.set_faults({.garble_probability = 1.0}); },
+        {"one backend server sheds load",
+         [](local_fleet& f) { f.backends[0]->service.set_faults({.shed_probability = 1.0}); }, 1.0, ""},
+        {"one backend server drains", [](local_fleet& f) { f.backends[0]->service.set_faults({.draining = true}); },
          1.0, ""},
-        {"one back end straggles",
+        {"one backend server sends malformed responses",
+         [](local_fleet& f) { f.backends[0]->service.set_faults({.garble_probability = 1.0}); }, 1.0, ""},
+        {"one backend server is slow",
          [](local_fleet& f) { f.backends[2]->service.set_faults({.delay_ms = 10000, .delay_probability = 1.0}); }, 1.0,
          ""},
-        {"one back end loses answers",
+        {"one backend server loses responses",
          [](local_fleet& f) { f.backends[0]->service.set_faults({.lost_reply_probability = 1.0}); }, 1.0, ""},
-        {"both replicas of one shard out of three straggle",
+        {"both replicas of one of three shards are slow",
          [](local_fleet& f) {
-             // Back ends 0 and 1 hold shard 0; back end 2 shares shards 1 and 2 with them.
+             // Backend servers 0 and 1 hold shard 0; server 2 holds shards 1 and 2, each with one of them.
              f.backends[0]->service.set_faults({.delay_ms = 10000, .delay_probability = 1.0});
              f.backends[1]->service.set_faults({.delay_ms = 10000, .delay_probability = 1.0});
          },
          2.0 / 3.0, ""},
-        {"every back end sheds",
+        {"every backend server sheds load",
          [](local_fleet& f) {
              for (auto const& backend : f.backends)
                  backend->service.set_faults({.shed_probability = 1.0});
@@ -139,8 +143,8 @@
         REQUIRE(fleet.wait_until_applied(fleet.publish()));
         REQUIRE(fleet.entries[0]->query(make_query("warm", "sea", 5000)).response.has_value());
         item.inject(fleet);
-        std::this_thread::sleep_for(milliseconds(50)); // the fault reaches the servers' threads
-        // More than one query, as the policy picks among equals at random.
+        std::this_thread::sleep_for(milliseconds(50)); // until the fault is in effect
+        // More than one query, because the policy chooses among equal replicas at random.
         for (int i = 0; i < queries_per_fault; ++i) {
             auto const query = make_query("q" + std::to_string(i), "love war", 2500);
             auto const result = fleet.entries[0]->query(query);
@@ -158,7 +162,7 @@
     }
 }
 
-TEST_CASE("a query pinned to a version that was dropped meanwhile starts over at the new one")
+TEST_CASE("a query pinned to an index version that was dropped restarts at the new version")
 {
     local_fleet fleet(3, 1, 3, 8);
     REQUIRE(fleet.wait_until_applied(fleet.publish()));
@@ -169,7 +173,7 @@
     REQUIRE(fleet.wait_until_applied(fleet.publish()));
     for (auto const& backend : fleet.backends)
         backend->service.drop_version(1);
-    // The query starts from the snapshot taken before the change, as one does that was being read just then.
+    // The query starts from the old snapshot, as one does that arrives just before the change is applied.
     std::promise<gather_result> promise;
     auto const query = make_query("q", "sea life", 4000);
     fleet.entries[0]->gather.run(old_snapshot, query,
@@ -182,7 +186,7 @@
     check_result(fleet, query, result, journals.received, journals.ran);
 }
 
-TEST_CASE("randomised: every answer is whole, its own, from one version, and its coverage is true")
+TEST_CASE("randomised: each response has exactly the hits of its query from one index version, and correct coverage")
 {
     for (auto seed : random_seeds()) {
         CAPTURE(seed);
@@ -212,7 +216,7 @@
             if (chance(0.03)) fleet.store.set_faults({{"outage_ms", random() % 500}});
             if (chance(0.03)) fleet.store.server.silence_open_connections();
             if (chance(0.03)) {
-                // Repartitioning: a new version cut into another number of shards; the oldest is dropped.
+                // Repartitioning: a new version with another number of shards is published, and the oldest is dropped.
                 fleet.load_version(next_version, static_cast<std::int32_t>(3 + random() % 6));
                 fleet.versions = {next_version - 1, next_version};
                 fleet.published_version = next_version;
--- a/tests/test_write_contract.cpp
+++ b/tests/test_write_contract.cpp
@@ -1,4 +1,4 @@
-/** @file test_write_contract.cpp At most once: non-idempotent requests under each fault, and random mixes of them. */
+/** @file test_write_contract.cpp Non-idempotent requests run at most once, under each fault and under random faults. */
 #include "local_fleet.hpp"
 #include "random_run.hpp"
 
@@ -11,13 +11,13 @@
 
 namespace {
 
-/** Back ends, entry nodes, shards and slots of the write fleets. */
+/** Size of the fleets in these tests. */
 constexpr std::size_t backend_count = 2;
 constexpr std::size_t entry_count = 2;
 constexpr std::int32_t shards = 2;
 constexpr std::size_t slot_count = 8;
 
-/** @return a booking under @p key. */
+/** @return a booking with the idempotency key @p key. */
 write_request booking(std::string const& key, std::int64_t deadline_ms = 3000)
 {
     return {"svc", key, "course-7", "seat for " + key, deadline_ms};
@@ -30,14 +30,14 @@
     return to_string(result.failure->kind());
 }
 
-/** A published fleet. */
+/** A fleet whose configuration is published and applied by every entry node. */
 struct write_fleet : local_fleet {
     explicit write_fleet(entry_setup const& setup = {})
         : local_fleet(backend_count, entry_count, shards, slot_count, setup)
     {
         REQUIRE(wait_until_applied(publish()));
     }
-    /** Sets the same faults on every back end. */
+    /** Sets the same faults on every backend server. */
     void fault_backends(backend_faults const& faults)
     {
         for (auto const& backend : backends)
@@ -47,25 +47,25 @@
 
 } // namespace
 
-TEST_CASE("a write under each fault gets a true outcome and runs at most once")
+TEST_CASE("under each fault, the reported outcome of a write is correct and it runs at most once")
 {
     struct fault_case {
         std::string name;
         std::function<void(write_fleet&)> inject;
         std::string first;  ///< Outcome of the first submission.
-        std::string second; ///< Outcome of a second one on the other entry node, after the fault is gone.
-        int runs;           ///< Times it ran in all.
+        std::string second; ///< Outcome of a second one, at the other entry node, after the fault is cleared.
+        int runs;           ///< Number of times it ran.
     };
     auto const shed_all = [](write_fleet& f) { f.fault_backends({.shed_probability = 1.0}); };
     auto const lose_replies = [](write_fleet& f) { f.fault_backends({.lost_reply_probability = 1.0}); };
     fault_case const cases[] = {
         {"no fault", [](write_fleet&) {}, "ran", "replayed", 1},
-        {"store reply lost after the claim took effect",
+        {"store response lost after the claim took effect",
          [](write_fleet& f) {
              f.store.set_faults({{"lose_replies", 1}});
          },
          "ran", "replayed", 1},
-        {"two store replies lost",
+        {"two store responses lost",
          [](write_fleet& f) {
              f.store.set_faults({{"lose_replies", 2}});
          },
@@ -76,32 +76,33 @@
          },
          "not_run", "ran", 1},
         {"store frozen", [](write_fleet& f) { f.store.server.set_frozen(true); }, "not_run", "ran", 1},
-        {"every back end sheds", shed_all, "unavailable", "ran", 1},
-        {"every back end drains", [](write_fleet& f) { f.fault_backends({.draining = true}); }, "unavailable", "ran",
-         1},
-        {"the back end runs it and its answer is lost", lose_replies, "outcome_unknown", "outcome_unknown", 1},
+        {"every backend server sheds load", shed_all, "unavailable", "ran", 1},
+        {"every backend server drains", [](write_fleet& f) { f.fault_backends({.draining = true}); }, "unavailable",
+         "ran", 1},
+        {"the backend server runs it and its response is lost", lose_replies, "outcome_unknown", "outcome_unknown", 1},
     };
     for (auto const& item : cases) {
         CAPTURE(item.name);
         entry_setup setup;
         setup.gather.hedge = false;
         write_fleet fleet(setup);
-        // Both nodes get their retention lease first, so that the fault meets the claim itself.
+        // Each node gets its retention lease before the fault, so that the first store call with the fault is the
+        // claim.
         REQUIRE(outcome(fleet.entries[0]->write(booking("warm"))) == "ran");
         REQUIRE(outcome(fleet.entries[1]->write(booking("warm"))) == "replayed");
         item.inject(fleet);
         CHECK(outcome(fleet.entries[0]->write(booking("k", 2500))) == item.first);
         fleet.clear_faults();
-        // A refusal is final at once, but the record of a claim made during a store fault is released after it.
+        // The caller gets its response at once, but the claim made during a store fault is released after the fault.
         CHECK(eventually([&] { return fleet.entries[0]->writes.pending_record_updates() == 0; }));
         for (auto& entry : fleet.entries)
-            entry->tracker = backend_tracker(); // forget the drain signal: this test is about the record
+            entry->tracker = backend_tracker(); // clears the drain signal, which would make the second write fail
         CHECK(outcome(fleet.entries[1]->write(booking("k"))) == item.second);
         CHECK(fleet.write_runs("k") == item.runs);
     }
 }
 
-TEST_CASE("a holder paused past the deadline after its claim does not send the request")
+TEST_CASE("an entry node that is paused past the deadline after its claim does not send the request")
 {
     entry_setup setup;
     setup.write.on_step = [](write_step where) {
@@ -114,7 +115,7 @@
     CHECK(fleet.write_runs("k") == 1);
 }
 
-TEST_CASE("while one entry node holds the claim, another does not run the same key")
+TEST_CASE("while one entry node holds the claim of a key, another does not run a request with that key")
 {
     std::atomic<bool> paused{false};
     std::atomic<bool> resume{false};
@@ -134,7 +135,7 @@
     CHECK(fleet.write_runs("k") == 1);
 }
 
-TEST_CASE("another request under a used key is refused")
+TEST_CASE("a different request with a used idempotency key is rejected")
 {
     write_fleet fleet;
     REQUIRE(outcome(fleet.entries[0]->write(booking("k"))) == "ran");
@@ -144,7 +145,7 @@
     CHECK(fleet.write_runs("k") == 1);
 }
 
-TEST_CASE("randomised: a write runs at most once, and \"not run\" is true")
+TEST_CASE("randomised: a write runs at most once, and one reported as not run did not run")
 {
     for (auto seed : random_seeds()) {
         CAPTURE(seed);
@@ -166,7 +167,7 @@
             if (chance(0.1)) fleet.store.set_faults({{"lose_replies", static_cast<int>(random() % 4)}});
             if (chance(0.05)) fleet.store.set_faults({{"outage_ms", 100}});
             if (chance(0.03)) fleet.store.server.silence_open_connections();
-            // Most submissions name a new key; some repeat a recent one, here or on the other entry node.
+            // Most submissions use a new key; some repeat a recent one, at the same or the other entry node.
             std::string const key = "w" + std::to_string(chance(0.4) ? random() % 10 + step * 2 / 3 : step * 2 / 3);
             auto& entry = *fleet.entries[random() % entry_count];
             auto promise = std::make_shared<std::promise<write_result>>();
