--- a/src/coordination/scatter_gather.cpp
+++ b/src/coordination/scatter_gather.cpp
@@ -225,9 +225,9 @@
     slot.retry_scheduled = true;
     m_client.run_at(retry_at, [this, state, shard, generation = state->generation] {
         if (state->finished || generation != state->generation) return;
-        auto& later = state->shards[shard];
-        later.retry_scheduled = false;
-        later.tried.assign(later.tried.size(), false);
+        auto& retried = state->shards[shard];
+        retried.retry_scheduled = false;
+        retried.tried.assign(retried.tried.size(), false);
         if (send_shard(state, shard)) {
             ++state->counts.retries;
             return;
--- a/tests/test_coordination_contract.cpp
+++ b/tests/test_coordination_contract.cpp
@@ -291,8 +291,8 @@
             return accepted > 0;
         }));
         CHECK(fleet.wait_until_applied(accepted));
-        auto const took = std::chrono::duration_cast<milliseconds>(clock::now() - started_at);
-        MESSAGE(item.name << ": 9 entry nodes converged in " << took.count() << " ms after the change was accepted");
+        auto const elapsed = std::chrono::duration_cast<milliseconds>(clock::now() - started_at);
+        MESSAGE(item.name << ": 9 entry nodes converged in " << elapsed.count() << " ms after the change was accepted");
         fleet.clear_faults();
     }
 }
--- a/tests/test_write_contract.cpp
+++ b/tests/test_write_contract.cpp
@@ -38,7 +38,7 @@
         REQUIRE(wait_until_applied(publish()));
     }
     /** Sets the same faults on every backend server. */
-    void fault_backends(backend_faults const& faults)
+    void set_backend_faults(backend_faults const& faults)
     {
         for (auto const& backend : backends)
             backend->service.set_faults(faults);
@@ -56,8 +56,8 @@
         std::string second; ///< Outcome of a second one, at the other entry node, after the fault is cleared.
         int runs;           ///< Number of times it ran.
     };
-    auto const shed_all = [](write_fleet& f) { f.fault_backends({.shed_probability = 1.0}); };
-    auto const lose_replies = [](write_fleet& f) { f.fault_backends({.lost_reply_probability = 1.0}); };
+    auto const shed_all = [](write_fleet& f) { f.set_backend_faults({.shed_probability = 1.0}); };
+    auto const lose_replies = [](write_fleet& f) { f.set_backend_faults({.lost_reply_probability = 1.0}); };
     fault_case const cases[] = {
         {"no fault", [](write_fleet&) {}, "ran", "replayed", 1},
         {"store response lost after the claim took effect",
@@ -77,7 +77,7 @@
          "not_run", "ran", 1},
         {"store frozen", [](write_fleet& f) { f.store.server.set_frozen(true); }, "not_run", "ran", 1},
         {"every backend server sheds load", shed_all, "unavailable", "ran", 1},
-        {"every backend server drains", [](write_fleet& f) { f.fault_backends({.draining = true}); }, "unavailable",
+        {"every backend server drains", [](write_fleet& f) { f.set_backend_faults({.draining = true}); }, "unavailable",
          "ran", 1},
         {"the backend server runs it and its response is lost", lose_replies, "outcome_unknown", "outcome_unknown", 1},
     };
