--- a/include/cornelspring/dispatch.hpp
+++ b/include/cornelspring/dispatch.hpp
@@ -94,7 +94,7 @@
  * @param connected tells whether there is a connection. @param random order. @param now present time.
  */
 std::vector<std::shared_ptr<backend_server>>
-backends_to_preconnect(serving_config const& config, backend_registry& registry, place_rules const& places,
+backends_to_preconnect(serving_config const& config, backend_registry& registry, placement_rules const& placement,
                        std::function<bool(std::shared_ptr<backend_server> const&)> const& connected,
                        std::mt19937_64& random, time_point now);
 
@@ -129,9 +129,9 @@
 
 /** Result of an attempt. */
 struct attempt_result {
-    attempt_end outcome = attempt_end::lost; ///< How it ended.
-    http_response response;                  ///< The response when answered or not executed.
-    std::string detail;                      ///< Why it failed, for logs.
+    attempt_status outcome = attempt_status::lost; ///< How it ended.
+    http_response response;                        ///< The response when answered or not executed.
+    std::string detail;                            ///< Why it failed, for logs.
 };
 
 /** What is known of a request's time before it was read, and after it will be answered. */
@@ -263,7 +263,8 @@
      *  @param places which of them a request may reach. @param quarantine requests that crash them. @param hooks
      * outside calls. @param seed random seed. */
     dispatcher(dispatcher_options options, config_holder const& configs, backend_registry& registry,
-               place_rules const& places, request_quarantine& quarantine, dispatcher_hooks hooks, std::uint64_t seed);
+               placement_rules const& placement, request_quarantine& quarantine, dispatcher_hooks hooks,
+               std::uint64_t seed);
     ~dispatcher();
     /** Takes in a whole request. @param key new key for it. @param message as received. @param timing its time before
      *  and after. @param caller who sent it. @param now present time. */
--- a/include/cornelspring/feed.hpp
+++ b/include/cornelspring/feed.hpp
@@ -70,7 +70,8 @@
     std::function<store_era(http_response const&)> parse_era;           ///< Reads the era from any answer of the store.
     std::function<std::shared_ptr<serving_config const>(std::string const& value)>
         parse_config; ///< Reads a configuration.
-    std::function<backend_entry(std::string const& id, std::string const& value)> parse_backend; ///< Reads an entry.
+    std::function<backend_registration(std::string const& id, std::string const& value)>
+        parse_backend; ///< Reads an entry.
 };
 
 // ---- Members ----
--- a/include/cornelspring/places.hpp
+++ b/include/cornelspring/places.hpp
@@ -24,7 +24,7 @@
 using region_set = std::set<region_name>;
 
 /** @return whether a request with @p homes may be served in @p region. @param homes its homes. @param region where. */
-inline bool at_home(region_set const& homes, region_name const& region)
+inline bool in_home_regions(region_set const& homes, region_name const& region)
 {
     return homes.empty() || homes.contains(region);
 }
@@ -38,7 +38,7 @@
     region_name region;                         ///< Region of this VM.
     std::map<domain_name, region_name> regions; ///< Region of each known failure domain.
     /** @return how far @p other is. @param other failure domain. */
-    proximity to(domain_name const& other) const;
+    proximity proximity_to(domain_name const& other) const;
     /** @return the region of @p of; empty when it is not known. @param of failure domain. */
     region_name region_of(domain_name const& of) const;
 };
@@ -49,15 +49,15 @@
 class evacuations {
 public:
     /** Takes in an evacuation. @param domain which. @return whether it is new. */
-    bool begin(domain_name const& domain) { return m_orders.insert(domain).second; }
+    bool start(domain_name const& domain) { return m_orders.insert(domain).second; }
     /** Takes in that it was taken back. @param domain which. @param now present time. @return whether it was known. */
-    bool end(domain_name const& domain, time_point now);
+    bool stop(domain_name const& domain, time_point now);
     /** @return whether @p domain is evacuated. @param domain which. */
-    bool in_force(domain_name const& domain) const { return m_orders.contains(domain); }
+    bool is_evacuated(domain_name const& domain) const { return m_orders.contains(domain); }
     /** @return all that are in force. */
-    std::set<domain_name> const& orders() const { return m_orders; }
+    std::set<domain_name> const& domains() const { return m_orders; }
     /** @return when the last one of @p domain ended; nothing when none did. @param domain which. */
-    std::optional<time_point> ended_at(domain_name const& domain) const;
+    std::optional<time_point> stopped_at(domain_name const& domain) const;
 
 private:
     std::set<domain_name> m_orders;            ///< In force.
@@ -68,8 +68,8 @@
 
 /** What the bound on requests to a cold backend server adds to the rate that it bears. */
 struct warmup_limits {
-    double over = 1.5; ///< Factor on that rate.
-    double slack = 5;  ///< Requests a second beyond it.
+    double factor = 1.5; ///< Factor on that rate.
+    double slack = 5;    ///< Requests a second beyond it.
 };
 
 /** What a service says of its backend servers while they are cold. */
@@ -87,14 +87,14 @@
  * is cut off goes on with the n that it knew while the others divide by fewer: with a share d cut off that is
  * u x B x (1 + d). A VM that has just started waits until the others have heard of it.
  */
-class warmup_shares {
+class warmup_quotas {
 public:
     /** Sets who shares. @param sharers store keys of the VMs that callers are sent to. @param self this VM's key.
      *  @param now present time. */
-    void set_sharers(std::set<std::string> const& sharers, std::string const& self, time_point now);
+    void set_participants(std::set<std::string> const& sharers, std::string const& self, time_point now);
     /** @return requests that this VM may send to @p server in any second. @param server its id. @param bound requests
      *  that it may get from all VMs in one second. @param now present time. */
-    int share(std::string const& server, double bound, time_point now) const;
+    int quota(std::string const& server, double bound, time_point now) const;
 
 private:
     std::vector<std::string> m_sharers; ///< Keys.
@@ -103,12 +103,12 @@
 };
 
 /** Requests that this VM has sent to one backend server within the last second. */
-class warmup_pace {
+class warmup_send_counter {
 public:
     /** Notes a request sent. @param now present time. */
     void on_sent(time_point now);
     /** @return requests sent in the second before @p now. @param now present time. */
-    int recent(time_point now) const;
+    int count(time_point now) const;
 
 private:
     std::deque<time_point> m_sent; ///< Times of sending, oldest first.
@@ -117,54 +117,55 @@
 // ---- Rules ----
 
 /** What the rules look at of one backend server. */
-struct server_place {
-    domain_name domain;    ///< Failure domain.
-    region_name region;    ///< Its region.
-    std::string id;        ///< Id of the backend server.
-    time_point cold_until; ///< Cold until then, by its own word.
-    warmup_pace pace;      ///< What this VM has sent there while it was cold.
+struct server_placement {
+    domain_name domain;                  ///< Failure domain.
+    region_name region;                  ///< Its region.
+    std::string id;                      ///< Id of the backend server.
+    time_point cold_until;               ///< Cold until then, by its own word.
+    warmup_send_counter sent_while_cold; ///< What this VM has sent there while it was cold.
 };
 
 /** What a request brings along. */
-struct place_demand {
-    region_set const& homes;   ///< Where it may be served.
-    warmup_spec const& warmup; ///< Cold backend servers of the service.
+struct placement_requirements {
+    region_set const& home_regions; ///< Where it may be served.
+    warmup_spec const& warmup;      ///< Cold backend servers of the service.
 };
 
 /** Why a backend server may not get a request. */
-enum class place_refusal {
-    none,      ///< It may.
-    away,      ///< It is in no home of the request.
-    evacuated, ///< Its failure domain is evacuated.
-    cold,      ///< It is cold, and has got what this VM may send.
+enum class placement_refusal {
+    none,                 ///< It may.
+    outside_home_regions, ///< It is in no home of the request.
+    evacuated,            ///< Its failure domain is evacuated.
+    cold,                 ///< It is cold, and has got what this VM may send.
 };
 /** @return the name of @p refusal for logs. @param refusal the refusal. */
-char const* to_string(place_refusal refusal);
+char const* to_string(placement_refusal refusal);
 
 /** Decides which backend servers a request may reach; every choice of one asks here. */
-class place_rules {
+class placement_rules {
 public:
     /** @param limits bound on cold backend servers. */
-    explicit place_rules(warmup_limits limits = {}) : m_limits(limits) {}
+    explicit placement_rules(warmup_limits limits = {}) : m_limits(limits) {}
     /** @return why @p server may not get a request now. @param server place of it. @param asked the request.
      *  @param now present time. */
-    place_refusal refusal(server_place const& server, place_demand const& asked, time_point now) const;
+    placement_refusal refusal(server_placement const& server, placement_requirements const& asked,
+                              time_point now) const;
     /** Notes a request sent to @p server. @param server place of it. @param asked the request. @param now present. */
-    void on_sent(server_place& server, place_demand const& asked, time_point now) const;
+    void on_sent(server_placement& server, placement_requirements const& asked, time_point now) const;
     /** @return whether @p server is taken to be cold: by its own word, or as its failure domain was evacuated until
      *  shortly before. @param server place of it. @param warmup its service's word. @param now present time. */
-    bool cold(server_place const& server, warmup_spec const& warmup, time_point now) const;
+    bool is_cold(server_placement const& server, warmup_spec const& warmup, time_point now) const;
     /** @return the evacuations. */
     evacuations& evacuated() { return m_evacuated; }
     /** @return the evacuations. */
     evacuations const& evacuated() const { return m_evacuated; }
     /** @return how the pace of cold backend servers is shared. */
-    warmup_shares& shares() { return m_shares; }
+    warmup_quotas& quotas() { return m_shares; }
 
 private:
     warmup_limits m_limits;  ///< Bound on cold backend servers.
     evacuations m_evacuated; ///< Evacuations.
-    warmup_shares m_shares;  ///< Division among VMs.
+    warmup_quotas m_shares;  ///< Division among VMs.
 };
 
 } // namespace cornelspring
--- a/include/cornelspring/quarantine.hpp
+++ b/include/cornelspring/quarantine.hpp
@@ -28,7 +28,7 @@
  * Remembers which requests backend servers have answered lately. It protects a query that many callers ask: when
  * another one crashes the servers, it is among those that run there again and again, and would count as the cause.
  */
-class recent_answers {
+class recent_responses {
 public:
     /** Notes an answer. @param request the request. @param now present time. */
     void add(http_request const& request, time_point now);
@@ -47,7 +47,7 @@
 };
 
 /** What is believed of a request. */
-enum class request_standing {
+enum class quarantine_status {
     clear,       ///< Nothing speaks against it.
     suspect,     ///< Backend servers ended under it and none answered it: it goes to one at a time.
     quarantined, ///< It crashes backend servers: it goes to none.
@@ -57,7 +57,7 @@
 struct crash_record {
     request_digest digest;           ///< The request.
     int crashes = 0;                 ///< Backend servers that ended under it.
-    int convictions = 0;             ///< Times that it was put into quarantine.
+    int quarantines = 0;             ///< Times that it was put into quarantine.
     milliseconds quarantine_left{0}; ///< Time that it stays there.
     bool answered = false;           ///< A backend server answered it, and none has crashed under it since.
     bool operator==(crash_record const&) const = default;
@@ -66,10 +66,10 @@
 /** Settings of the quarantine. */
 struct quarantine_options {
     /** Crashes from which a request counts as their cause: fewer come together by chance when servers fail. */
-    int convicting_crashes = 3;
-    milliseconds first{60000};    ///< Length of the first quarantine; each further one is twice as long.
-    milliseconds longest{600000}; ///< Longest quarantine. As long is remembered what was seen of a request.
-    std::size_t kept = 256;       ///< Requests remembered; the oldest are forgotten first.
+    int crash_threshold = 3;
+    milliseconds first_duration{60000}; ///< Length of the first quarantine; each further one is twice as long.
+    milliseconds max_duration{600000};  ///< Longest quarantine. As long is remembered what was seen of a request.
+    std::size_t max_requests = 256;     ///< Requests remembered; the oldest are forgotten first.
 };
 
 /**
@@ -84,10 +84,10 @@
     /** A change of what is believed, for logs. */
     struct change {
         request_digest digest;                               ///< The request.
-        request_standing standing = request_standing::clear; ///< What is believed of it now.
+        quarantine_status status = quarantine_status::clear; ///< What is believed of it now.
         int crashes = 0;                                     ///< Crashes seen by all gateways.
         std::string source;                                  ///< Gateway that told; empty: seen here.
-        bool to_tell = false;                                ///< What this VM tells has changed.
+        bool own_record_changed = false;                     ///< What this VM tells has changed.
     };
     /** @param options settings. */
     explicit request_quarantine(quarantine_options options = {}) : m_options(options) {}
@@ -97,36 +97,36 @@
     /** @return whether nothing is known of any request, so that no digest is needed. */
     bool empty() const { return m_requests.empty(); }
     /** @return what is believed of a request. @param digest request. @param now present time. */
-    request_standing standing(request_digest const& digest, time_point now) const;
+    quarantine_status status(request_digest const& digest, time_point now) const;
     /** @return how long a request stays in quarantine; 0 when it is in none. @param digest request. @param now time. */
     milliseconds quarantine_left(request_digest const& digest, time_point now) const;
     /** @return whether so many crashes, with those known, convict a request. @param digest request. @param crashes more
      *  crashes than are known here. */
-    bool convicts(request_digest const& digest, int crashes) const;
+    bool reaches_crash_threshold(request_digest const& digest, int crashes) const;
 
     /** @return whether this VM has sent a suspect to a backend server and waits for the outcome. @param digest request.
      */
     bool on_trial(request_digest const& digest) const;
     /** A suspect goes to a backend server. @param digest request. */
-    void begin_trial(request_digest const& digest);
+    void start_trial(request_digest const& digest);
     /** The outcome is there, or none will be. @param digest request. */
-    void end_trial(request_digest const& digest);
+    void finish_trial(request_digest const& digest);
     /** Backend servers ended under a request that none has answered. @param digest request. @param crashes how many.
      *  @param now present time. */
     void on_crashes(request_digest const& digest, int crashes, time_point now);
     /** Puts a request into quarantine. @param digest request. @param now present time. */
-    void convict(request_digest const& digest, time_point now);
+    void start_quarantine(request_digest const& digest, time_point now);
     /** A backend server answered a request that is suspect or in quarantine, here or elsewhere: it does not crash them.
      *  @param digest request. @param now present time. */
-    void on_answered(request_digest const& digest, time_point now);
+    void on_response(request_digest const& digest, time_point now);
 
     /** @return what this VM tells the others. @param now present time. */
-    std::vector<crash_record> told(time_point now) const;
+    std::vector<crash_record> own_records(time_point now) const;
     /** Takes in what another gateway tells; it replaces what that one told before, but a quarantine lasts.
      *  @param source which gateway. @param records what it has seen. @param now present time. */
-    void learn(std::string const& source, std::vector<crash_record> const& records, time_point now);
+    void apply_peer_records(std::string const& source, std::vector<crash_record> const& records, time_point now);
     /** Takes up what this VM told before it started again. @param records as told. @param now present time. */
-    void resume(std::vector<crash_record> const& records, time_point now);
+    void restore_own_records(std::vector<crash_record> const& records, time_point now);
 
 private:
     /** What is known of one request. */
@@ -144,7 +144,7 @@
         /** @return crashes seen by all. */
         int crashes() const;
         /** @return what is believed of it. */
-        request_standing standing(time_point now) const;
+        quarantine_status standing(time_point now) const;
     };
     /** @return the record of a request, made when absent, remembered from now on. */
     known_request& remember(request_digest const& digest, time_point now);
@@ -161,7 +161,7 @@
 };
 
 /** @return the name of @p standing for logs. @param standing the standing. */
-char const* to_string(request_standing standing);
+char const* to_string(quarantine_status standing);
 /** @return records as the value of a store key. @param records records. */
 std::string encode_crash_records(std::vector<crash_record> const& records);
 /** @return the records in @p value. @param value store value. @throw error bad_request when malformed. */
--- a/include/cornelspring/routing.hpp
+++ b/include/cornelspring/routing.hpp
@@ -1,5 +1,5 @@
 /**
- * @file routing.hpp What requests are routed by, without sockets or clock reads: routes, places, backend servers and
+ * @file routing.hpp What requests are routed by, without sockets or clock reads: routes, placement, backend servers and
  * what was observed of them, replica choice, retry budget.
  */
 #pragma once
@@ -35,16 +35,16 @@
 
 /** How much a new sample counts in a moving average over time: the more, the longer ago the last one was. */
 struct sample_weight {
-    milliseconds average{1000}; ///< Time over which samples are averaged.
-    double least = 0.1;         ///< Weight of a sample right after another.
-    double most = 0.5;          ///< Weight of one after a long pause.
+    milliseconds time_constant{1000}; ///< Time over which samples are averaged.
+    double min_weight = 0.1;          ///< Weight of a sample right after another.
+    double max_weight = 0.5;          ///< Weight of one after a long pause.
     /** @return the weight. @param gap time since the sample before. */
     double after(clock::duration gap) const;
 };
 
 /** @return what is left of 1 after @p age when half of it goes in each @p half_life. @param age time that has gone.
  *  @param half_life time. */
-double decayed(clock::duration age, milliseconds half_life);
+double decay_factor(clock::duration age, milliseconds half_life);
 
 // ---- Configuration ----
 
@@ -55,7 +55,7 @@
 };
 
 /** One of the services among which a route distributes its requests. */
-struct split_part {
+struct split_target {
     service_name service; ///< Service.
     double weight = 1;    ///< Its share, relative to the other parts.
 };
@@ -76,15 +76,15 @@
     milliseconds timeout{1000};               ///< Longest time a caller may be kept waiting.
     milliseconds goal{1000};                  ///< Time within which an answer is worth its full value.
     int priority = 0;                         ///< Rank; 0 is the highest.
-    bool most_urgent = true;                  ///< No other route over the same shards ranks higher; by serving_config.
+    bool highest_priority = true;             ///< No other route over the same shards ranks higher; by serving_config.
     int attempts = 1;                         ///< Most backend servers one request (of one shard) may run on.
-    region_set homes;                         ///< Regions that may serve it; empty: all.
-    std::vector<split_part> split;            ///< Services that share the requests; one for a plain route.
+    region_set home_regions;                  ///< Regions that may serve it; empty: all.
+    std::vector<split_target> split;          ///< Services that share the requests; one for a plain route.
     std::optional<gather_spec> gather;        ///< Set for a route over shards; split is then empty.
 };
 
 /** What the configuration says of one service. */
-struct service_spec_limits {
+struct service_limits {
     int max_connections = 16; ///< Connections a backend server of it accepts from all VMs together.
     warmup_spec warmup;       ///< Its backend servers while they are cold.
 };
@@ -101,8 +101,8 @@
 class serving_config {
 public:
     /** @param version version. @param routes routes. @param services limits by service. @param limits for callers. */
-    serving_config(config_version version, std::vector<route> routes,
-                   std::map<service_name, service_spec_limits> services, caller_limits limits);
+    serving_config(config_version version, std::vector<route> routes, std::map<service_name, service_limits> services,
+                   caller_limits limits);
     /** @return the version. */
     config_version version() const { return m_version; }
     /** @return all routes. */
@@ -115,9 +115,9 @@
     warmup_spec const& warmup(service_name const& service) const;
     /** @return the regions that may serve all routes of @p host, else those that may serve some; empty: all regions.
      *  @param host host. */
-    region_set homes_of_host(std::string const& host) const;
+    region_set home_regions_of_host(std::string const& host) const;
     /** @return the lowest connection limit among the services over which routes gather; 0 when none does. */
-    int fewest_connections() const { return m_fewest_connections; }
+    int min_gather_connections() const { return m_min_gather_connections; }
     /**
      * @return the route of @p host with the longest prefix that begins @p path, or null.
      * @param host value of the Host header. @param path request target; a query is ignored.
@@ -127,9 +127,9 @@
 private:
     config_version m_version;                                   ///< Version.
     std::vector<route> m_routes;                                ///< Routes.
-    std::map<service_name, service_spec_limits> m_services;     ///< Limits by service.
+    std::map<service_name, service_limits> m_services;          ///< Limits by service.
     caller_limits m_limits;                                     ///< For callers.
-    int m_fewest_connections = 0;                               ///< See fewest_connections().
+    int m_min_gather_connections = 0;                           ///< See min_gather_connections().
     std::unordered_map<std::string, std::size_t> m_by_location; ///< Route index by host and prefix.
 };
 
@@ -137,7 +137,7 @@
 class config_holder {
 public:
     /** Puts @p next into force when it is newer. @return whether it was. @param next candidate. */
-    bool offer(std::shared_ptr<serving_config const> next);
+    bool set_if_newer(std::shared_ptr<serving_config const> next);
     /** @return the configuration in force, or null before the first. */
     std::shared_ptr<serving_config const> const& current() const { return m_current; }
 
@@ -148,7 +148,7 @@
 // ---- Backend servers ----
 
 /** What a backend server has registered about itself. */
-struct backend_entry {
+struct backend_registration {
     backend_id id;               ///< Incarnation.
     service_name service;        ///< Service it belongs to.
     endpoint address;            ///< Where it listens.
@@ -156,12 +156,12 @@
     int slots = 1;               ///< Requests it works on at once.
     bool draining = false;       ///< It leaves soon and takes no new work.
     milliseconds warmup_left{0}; ///< How much longer it is slow after its start.
-    start_time started{};        ///< Its start.
+    start_time started_at{};     ///< Its start.
     std::int64_t sequence = 0;   ///< Grows with each entry of one incarnation.
 };
 
 /** How one attempt at a backend server ended. */
-enum class attempt_end {
+enum class attempt_status {
     answered,     ///< A whole response of that backend server to that request.
     not_executed, ///< The backend server said that it did not run the request.
     wrong_server, ///< Another incarnation holds the address; it did not run the request.
@@ -173,9 +173,12 @@
     disconnected,
 };
 /** @return whether a request may have run in an attempt that ended so. @param end the end. */
-inline bool may_have_run(attempt_end end) { return end == attempt_end::lost || end == attempt_end::disconnected; }
+inline bool may_have_run(attempt_status end)
+{
+    return end == attempt_status::lost || end == attempt_status::disconnected;
+}
 /** @return the name of @p end for logs. @param end the end. */
-char const* to_string(attempt_end end);
+char const* to_string(attempt_status end);
 
 /** What this VM has observed of one backend server. */
 class backend_load {
@@ -186,7 +189,7 @@
      *  @param ran time it ran. @param now present time. */
     void on_cancelled(std::chrono::microseconds ran, time_point now);
     /** Notes how an attempt ended. @param end how. @param took time it ran. @param now present time. */
-    void on_ended(attempt_end end, std::chrono::microseconds took, time_point now);
+    void on_finished(attempt_status end, std::chrono::microseconds took, time_point now);
     /** Notes that an attempt runs longer than usual. @param now present time. */
     void on_stalled(time_point now);
     /** @return attempts that have not ended. */
@@ -212,13 +215,13 @@
 
 /** A backend server as this VM knows it. */
 struct backend_server {
-    backend_entry entry;                      ///< What it registered last.
-    proximity where = proximity::same_domain; ///< How far it is.
-    server_place place;                       ///< What decides which requests may reach it.
-    backend_load load;                        ///< What was observed of it.
-    std::optional<time_point> draining_since; ///< When this VM learned that it leaves.
-    bool gone = false;                        ///< Its entry was removed: no new work.
-    std::optional<time_point> lapsed_until;   ///< Its entry was removed by a store outage; gone at that time.
+    backend_registration registration;           ///< What it registered last.
+    proximity distance = proximity::same_domain; ///< How far it is.
+    server_placement placement;                  ///< What decides which requests may reach it.
+    backend_load load;                           ///< What was observed of it.
+    std::optional<time_point> draining_since;    ///< When this VM learned that it leaves.
+    bool removed = false;                        ///< Its entry was removed: no new work.
+    std::optional<time_point> lapsed_until;      ///< Its entry was removed by a store outage; gone at that time.
 };
 
 /** Allowance of extra arrivals at one service within a sliding window; this VM's part of a bound over all VMs. */
@@ -236,9 +239,9 @@
      * Takes one extra arrival, if the window has room for it.
      * @param bound limits. @param vms VMs that share the slack. @param now present time. @return whether it was taken.
      */
-    bool take(limits const& bound, std::size_t vms, time_point now);
+    bool try_consume(limits const& bound, std::size_t vms, time_point now);
     /** @return extra arrivals left in this window. @param bound limits. @param vms sharing VMs. @param now present. */
-    double left(limits const& bound, std::size_t vms, time_point now);
+    double remaining(limits const& bound, std::size_t vms, time_point now);
 
 private:
     /** Counts of one second. */
@@ -254,12 +257,12 @@
 
 /** How often one shard answered the queries of this VM lately, however late: it fails when its backend servers are full
  *  or gone. */
-class shard_outlook {
+class shard_availability {
 public:
     /** Notes how it went for one query. @param answered whether the shard answered. @param now present time. */
     void on_outcome(bool answered, time_point now);
     /** @return share of recent queries that it answered, 0 to 1; 1 when nothing is known. @param now present time. */
-    double answered_share(time_point now) const;
+    double response_rate(time_point now) const;
 
 private:
     double m_share = 1;      ///< Moving average at the last outcome.
@@ -271,14 +274,14 @@
     service_name name;                                     ///< Service.
     std::vector<std::shared_ptr<backend_server>> backends; ///< Known backend servers.
     retry_budget budget;                                   ///< Extra arrivals allowed.
-    shard_outlook outlook;                                 ///< How often it answers, as a shard.
-    double usual_latency_ms = 20;                          ///< Moving average over its backend servers.
+    shard_availability availability;                       ///< How often it answers, as a shard.
+    double average_latency_ms = 20;                        ///< Moving average over its backend servers.
     /** A shard of a request that waits for a backend server with room. */
     struct waiter {
         std::uint64_t request = 0; ///< Request key.
         std::size_t shard = 0;     ///< Shard of the request.
     };
-    std::multimap<int, waiter> waiting; ///< By route priority, first come first served within one.
+    std::multimap<int, waiter> wait_queue; ///< By route priority, first come first served within one.
 };
 
 /** All backend servers known to this VM, by service. */
@@ -295,13 +298,13 @@
      * backend server of which nothing is known.
      * @param entry entry. @param now present time. @return whether routing changes.
      */
-    bool apply(backend_entry const& entry, time_point now);
+    bool apply(backend_registration const& entry, time_point now);
     /** Takes in the removal of an entry. @param id whose. @param now present time. @return whether it was known. */
     bool remove(backend_id const& id, time_point now);
     /** Notes that the store answers again after an outage; removals seen now may be entries that lapsed. */
-    void on_store_back(time_point now) { m_lapses_until = now + m_lapse_grace; }
+    void on_store_recovered(time_point now) { m_lapses_until = now + m_lapse_grace; }
     /** Drops the lapsed entries that did not return in time. @param now present time. @return those dropped. */
-    std::vector<backend_id> expire(time_point now);
+    std::vector<backend_id> remove_lapsed(time_point now);
     /** @return backend servers that say that they are cold. @param now present time. */
     std::size_t cold_count(time_point now) const;
     /** @return ids of all entries that are not gone. */
@@ -313,7 +316,7 @@
 
 private:
     /** @return whether @p entry is older than what is known of its backend server. */
-    bool outdated(backend_entry const& entry) const;
+    bool outdated(backend_registration const& entry) const;
     /** Ends a backend server: it gets no new work. */
     void retire(std::shared_ptr<backend_server> const& server);
 
@@ -333,42 +336,42 @@
 
 /** Settings of replica choice. */
 struct selection_options {
-    double other_region_ms = 25;             ///< Added to the expected wait at another region: bytes there are dear.
-    double other_domain_ms = 2;              ///< Added at another failure domain of the region.
+    double other_region_penalty_ms = 25;     ///< Added to the expected wait at another region: bytes there are dear.
+    double other_domain_penalty_ms = 2;      ///< Added at another failure domain of the region.
     double cold_factor = 1.6;                ///< Slowdown of a backend server that has just started.
     double failure_weight = 5;               ///< Weight of the recent failure rate.
-    bool by_wait = true;                     ///< By expected wait; else by distance alone.
-    bool suspicion = true;                   ///< Those that failed or stalled are avoided for a while.
+    bool by_expected_wait = true;            ///< By expected wait; else by distance alone.
+    bool avoid_suspect = true;               ///< Those that failed or stalled are avoided for a while.
     milliseconds draining_last_resort{1000}; ///< A draining one may still be used so long when none else is left.
 };
 
 /** Why no attempt was sent. */
-enum class selection_miss {
-    none,       ///< One was sent.
-    no_backend, ///< No backend server may get it.
-    away,       ///< Those that are left are in no home of the request.
-    evacuated,  ///< Those that are left are evacuated.
-    cold,       ///< Those that are left are cold, and have got what this VM may send.
-    no_room,    ///< All have as many attempts as this VM may send.
-    no_budget,  ///< The allowance of extra arrivals is used up.
-    no_gain,    ///< A hedge would not bring the answer sooner.
+enum class selection_failure {
+    none,                 ///< One was sent.
+    no_backend,           ///< No backend server may get it.
+    outside_home_regions, ///< Those that are left are in no home of the request.
+    evacuated,            ///< Those that are left are evacuated.
+    cold,                 ///< Those that are left are cold, and have got what this VM may send.
+    no_room,              ///< All have as many attempts as this VM may send.
+    no_budget,            ///< The allowance of extra arrivals is used up.
+    no_gain,              ///< A hedge would not bring the answer sooner.
 };
 /** @return the name of @p miss for logs. @param miss the miss. */
-char const* to_string(selection_miss miss);
+char const* to_string(selection_failure miss);
 
 /** Result of a choice. */
 struct selection {
-    std::shared_ptr<backend_server> target;     ///< The choice, or null.
-    selection_miss miss = selection_miss::none; ///< Why null.
-    bool suspect = false;                       ///< The choice is under suspicion; no better one had room.
-    double wait_ms = 0;                         ///< Expected wait there, in milliseconds.
+    std::shared_ptr<backend_server> target;              ///< The choice, or null.
+    selection_failure failure = selection_failure::none; ///< Why null.
+    bool suspect = false;                                ///< The choice is under suspicion; no better one had room.
+    double wait_ms = 0;                                  ///< Expected wait there, in milliseconds.
 };
 
 /** What a choice goes by besides what was observed of the backend servers. */
-struct selection_scope {
-    selection_options const& options; ///< Weights.
-    place_rules const& places;        ///< Which backend servers may be reached at all,
-    place_demand asked;               ///< by this request.
+struct selection_context {
+    selection_options const& options;    ///< Weights.
+    placement_rules const& placement;    ///< Which backend servers may be reached at all,
+    placement_requirements requirements; ///< by this request.
 };
 
 /**
@@ -378,10 +381,10 @@
  * @return the choice.
  */
 selection choose_backend(service_group const& group, std::vector<backend_id> const& tried, int room,
-                         selection_scope const& scope, std::mt19937_64& random, time_point now);
+                         selection_context const& scope, std::mt19937_64& random, time_point now);
 
 /** @return none when some backend server of @p group may get work, else why not. @param group service. @param scope
  *  weights and places. @param now present time. */
-selection_miss why_no_work(service_group const& group, selection_scope const& scope, time_point now);
+selection_failure unavailability_reason(service_group const& group, selection_context const& scope, time_point now);
 
 } // namespace cornelspring
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -173,9 +173,10 @@
 // ---- Public interface ----
 
 dispatcher::dispatcher(dispatcher_options options, config_holder const& configs, backend_registry& registry,
-                       place_rules const& places, request_quarantine& quarantine, dispatcher_hooks hooks,
+                       placement_rules const& placement, request_quarantine& quarantine, dispatcher_hooks hooks,
                        std::uint64_t seed)
-    : m_impl(std::make_unique<impl>(std::move(options), configs, registry, places, quarantine, std::move(hooks), seed))
+    : m_impl(
+          std::make_unique<impl>(std::move(options), configs, registry, placement, quarantine, std::move(hooks), seed))
 {
 }
 
--- a/src/dispatch/dispatcher_arrival.cpp
+++ b/src/dispatch/dispatcher_arrival.cpp
@@ -73,11 +73,11 @@
         return;
     }
     auto const standing = look_up(request, now);
-    if (standing == request_standing::quarantined) {
+    if (standing == quarantine_status::quarantined) {
         answer_at_once(key, request.summary, quarantine_refusal(request, now), "quarantined");
         return;
     }
-    bool const suspect = standing == request_standing::suspect;
+    bool const suspect = standing == quarantine_status::suspect;
     if (suspect && quarantine.on_trial(request.summary.digest)) {
         auto const text = "this request is being tried at one backend server, after others crashed";
         answer_at_once(key, request.summary, refusal(text, options.retry_after_s), "on_trial");
@@ -217,16 +217,16 @@
     return out;
 }
 
-selection_scope dispatcher::impl::scope(request_state const& request, shard_state const& shard) const
+selection_context dispatcher::impl::scope(request_state const& request, shard_state const& shard) const
 {
-    return {options.selection, places, {request.via->homes, *shard.warmup}};
+    return {options.selection, placement, {request.via->home_regions, *shard.warmup}};
 }
 
-void dispatcher::impl::note_miss(request_summary& summary, selection_miss miss)
+void dispatcher::impl::note_miss(request_summary& summary, selection_failure miss)
 {
-    if (miss == selection_miss::away) ++summary.no_home;
-    if (miss == selection_miss::evacuated) ++summary.evacuated;
-    if (miss == selection_miss::cold) ++summary.cold;
+    if (miss == selection_failure::outside_home_regions) ++summary.no_home;
+    if (miss == selection_failure::evacuated) ++summary.evacuated;
+    if (miss == selection_failure::cold) ++summary.cold;
 }
 
 /**
@@ -240,16 +240,16 @@
     std::size_t blocked = 0;
     double longest = options.retry_after_s;
     for (auto const& shard : request.shards) {
-        auto const miss = why_no_work(*shard.group, scope(request, shard), now);
-        if (miss != selection_miss::none) {
+        auto const miss = unavailability_reason(*shard.group, scope(request, shard), now);
+        if (miss != selection_failure::none) {
             note_miss(request.summary, miss);
             ++blocked;
             continue;
         }
-        auto const ahead = static_cast<double>(shard.group->waiting.size());
+        auto const ahead = static_cast<double>(shard.group->wait_queue.size());
         if (ahead == 0) continue;
         double const lanes = std::max(1.0, static_cast<double>(shard.group->backends.size()) * room(request, shard));
-        double const wait_s = ahead * shard.group->usual_latency_ms / lanes / 1000.0;
+        double const wait_s = ahead * shard.group->average_latency_ms / lanes / 1000.0;
         longest = std::max(longest, wait_s);
         if (wait_s > std::chrono::duration<double>(request.via->goal).count()) ++blocked;
     }
@@ -261,7 +261,7 @@
     std::vector<double> answered_shares;
     answered_shares.reserve(request.shards.size());
     for (auto const& shard : request.shards)
-        answered_shares.push_back(shard.group->outlook.answered_share(now));
+        answered_shares.push_back(shard.group->availability.response_rate(now));
     return coverable_share(std::move(answered_shares), request.needed);
 }
 
@@ -277,7 +277,7 @@
     asked.retried = options.retries_last && request.returning;
     if (options.by_coverage) asked.max_share = coverable(request, now);
     request.summary.coverable_share = asked.max_share;
-    asked.highest_priority = !options.by_priority || request.via->most_urgent;
+    asked.highest_priority = !options.by_priority || request.via->highest_priority;
     auto const decision = control.admit(asked, std::uniform_real_distribution<double>(0, 1)(random), now);
     request.summary.admission_wait_ms = decision.wait_ms;
     request.summary.admitted_share = decision.share;
--- a/src/dispatch/dispatcher_attempts.cpp
+++ b/src/dispatch/dispatcher_attempts.cpp
@@ -43,23 +43,24 @@
                       std::max(longest, options.hedge_min));
 }
 
-selection_miss dispatcher::impl::send(request_state& request, std::size_t index, attempt_reason reason, time_point now)
+selection_failure dispatcher::impl::send(request_state& request, std::size_t index, attempt_reason reason,
+                                         time_point now)
 {
     auto& shard = request.shards[index];
     auto const asked = scope(request, shard);
     auto const chosen = choose_backend(*shard.group, shard.tried, room(request, shard), asked, random, now);
     if (!chosen.target) {
-        if (reason != attempt_reason::hedge) note_miss(request.summary, chosen.miss);
-        return chosen.miss;
+        if (reason != attempt_reason::hedge) note_miss(request.summary, chosen.failure);
+        return chosen.failure;
     }
     // A hedge at a server that may be stalled too would only add load.
     if (reason == attempt_reason::hedge && (chosen.suspect || !hedge_gains(request, shard, chosen, now))) {
-        return selection_miss::no_gain;
+        return selection_failure::no_gain;
     }
     bool const extra = shard.arrivals > 0;
-    if (extra && !shard.group->budget.take(options.budget, vms, now)) return selection_miss::no_budget;
+    if (extra && !shard.group->budget.try_consume(options.budget, vms, now)) return selection_failure::no_budget;
     submit(request, index, chosen, reason, now);
-    return selection_miss::none;
+    return selection_failure::none;
 }
 
 void dispatcher::impl::submit(request_state& request, std::size_t index, selection const& chosen, attempt_reason reason,
@@ -70,7 +71,8 @@
     outgoing_attempt order;
     order.id = id;
     order.target = chosen.target;
-    order.head = request.head_bytes + options.names.target_backend + ": " + chosen.target->entry.id.value() + "\r\n";
+    order.head =
+        request.head_bytes + options.names.target_backend + ": " + chosen.target->registration.id.value() + "\r\n";
     order.body = request.message.body;
     order.caller_deadline = request.deadline + deadline_margin;
     order.request_id = request.summary.request_id;
@@ -78,10 +80,10 @@
     order.idempotent = request.via->kind == route_kind::idempotent;
     attempts.emplace(id.value(),
                      open_attempt{request.key, index, shard.group, chosen.target,
-                                  &request.latencies->of(chosen.target->where), now, request.cautious, false});
+                                  &request.latencies->of(chosen.target->distance), now, request.cautious, false});
     chosen.target->load.on_sent();
-    places.on_sent(chosen.target->place, scope(request, shard).asked, now);
-    shard.tried.push_back(chosen.target->entry.id);
+    placement.on_sent(chosen.target->placement, scope(request, shard).requirements, now);
+    shard.tried.push_back(chosen.target->registration.id);
     shard.open.push_back(id);
     ++shard.sends;
     ++shard.arrivals;
@@ -89,7 +91,7 @@
     ++request.summary.attempts;
     if (request.cautious) ++request.trials;
     if (reason != attempt_reason::first) note_extra(request, *shard.group, chosen, reason, now);
-    plan_hedge(request, shard, chosen.target->where, now);
+    plan_hedge(request, shard, chosen.target->distance, now);
     hooks.send(std::move(order));
 }
 
@@ -111,23 +113,23 @@
     if (summary.hedges + summary.retries > extras_named) return;
     auto const at_ms = std::chrono::duration_cast<milliseconds>(now - request.arrived).count();
     auto const whole = [](double value) { return std::to_string(std::llround(value)); };
-    summary.extra_attempts += std::string(hedged ? "hedge:" : "retry:") + chosen.target->entry.id.value() +
+    summary.extra_attempts += std::string(hedged ? "hedge:" : "retry:") + chosen.target->registration.id.value() +
                               ":at_ms=" + std::to_string(at_ms) + ",expected_ms=" + whole(chosen.wait_ms) +
                               ",suspect=" + (chosen.suspect ? "1" : "0") +
-                              ",budget=" + whole(group.budget.left(options.budget, vms, now)) + " ";
+                              ",budget=" + whole(group.budget.remaining(options.budget, vms, now)) + " ";
 }
 
 void dispatcher::impl::first_attempt(request_state& request, std::size_t index, time_point now)
 {
     switch (send(request, index, attempt_reason::first, now)) {
-    case selection_miss::none: return;
-    case selection_miss::no_room: wait_for_room(request, index); return;
-    case selection_miss::no_budget:
-    case selection_miss::no_gain:
-    case selection_miss::no_backend:
-    case selection_miss::away:
-    case selection_miss::evacuated:
-    case selection_miss::cold:
+    case selection_failure::none: return;
+    case selection_failure::no_room: wait_for_room(request, index); return;
+    case selection_failure::no_budget:
+    case selection_failure::no_gain:
+    case selection_failure::no_backend:
+    case selection_failure::outside_home_regions:
+    case selection_failure::evacuated:
+    case selection_failure::cold:
         request.shards[index].failed = true;
         ++request.failed;
         return;
@@ -138,24 +140,24 @@
 {
     auto& shard = request.shards[index];
     shard.waiting = true;
-    shard.group->waiting.emplace(request.via->priority, service_group::waiter{request.key.value(), index});
+    shard.group->wait_queue.emplace(request.via->priority, service_group::waiter{request.key.value(), index});
 }
 
 void dispatcher::impl::pump(service_group& group, time_point now)
 {
-    while (!group.waiting.empty()) {
-        auto const next = group.waiting.begin()->second;
+    while (!group.wait_queue.empty()) {
+        auto const next = group.wait_queue.begin()->second;
         auto const found = open.find(next.request);
         if (found == open.end() || !found->second->shards[next.shard].waiting) {
-            group.waiting.erase(group.waiting.begin());
+            group.wait_queue.erase(group.wait_queue.begin());
             continue;
         }
         auto& request = *found->second;
         auto const miss = send(request, next.shard, attempt_reason::first, now);
-        if (miss == selection_miss::no_room) return;
-        group.waiting.erase(group.waiting.begin());
+        if (miss == selection_failure::no_room) return;
+        group.wait_queue.erase(group.wait_queue.begin());
         request.shards[next.shard].waiting = false;
-        if (miss != selection_miss::none) {
+        if (miss != selection_failure::none) {
             shard_failed(request, next.shard, now);
             continue;
         }
@@ -201,11 +203,11 @@
     for (auto const id : shard.open) {
         auto const& attempt = attempts.at(id.value());
         auto const ran = std::chrono::duration<double, std::milli>(now - attempt.sent).count();
-        if (ran > stall_factor * shard.group->usual_latency_ms) attempt.target->load.on_stalled(now);
+        if (ran > stall_factor * shard.group->average_latency_ms) attempt.target->load.on_stalled(now);
     }
     shard.hedge_at = time_point::max();
     auto const miss = send(request, index, attempt_reason::hedge, now);
-    if (miss != selection_miss::none) {
+    if (miss != selection_failure::none) {
         ++request.summary.hedges_denied;
         request.summary.hedge_denied_reason = to_string(miss);
         shard.hedge_at = now + hedge_delay(request, proximity::other_region);
@@ -224,12 +226,12 @@
         return;
     }
     auto miss = send(request, index, attempt_reason::retry, now);
-    if (miss == selection_miss::none) return;
-    if (miss == selection_miss::no_room) {
+    if (miss == selection_failure::none) return;
+    if (miss == selection_failure::no_room) {
         wait_for_room(request, index);
         return;
     }
-    if (shard.tried.empty() || miss == selection_miss::no_budget) {
+    if (shard.tried.empty() || miss == selection_failure::no_budget) {
         shard_failed(request, index, now);
         return;
     }
@@ -244,27 +246,27 @@
     auto const attempt = found->second;
     attempts.erase(found);
     auto const took = std::chrono::duration_cast<std::chrono::microseconds>(now - attempt.sent);
-    attempt.target->load.on_ended(result.outcome, took, now);
-    if (result.outcome == attempt_end::wrong_server) attempt.target->gone = true;
-    if (result.outcome == attempt_end::answered) note_warmup(*attempt.target, result.response, now);
-    if (result.outcome == attempt_end::answered) {
+    attempt.target->load.on_finished(result.outcome, took, now);
+    if (result.outcome == attempt_status::wrong_server) attempt.target->removed = true;
+    if (result.outcome == attempt_status::answered) note_warmup(*attempt.target, result.response, now);
+    if (result.outcome == attempt_status::answered) {
         attempt.latencies->add(took);
         double const ms = static_cast<double>(took.count()) / 1000.0;
-        attempt.group->usual_latency_ms += usual_latency_weight * (ms - attempt.group->usual_latency_ms);
+        attempt.group->average_latency_ms += usual_latency_weight * (ms - attempt.group->average_latency_ms);
     }
     if (auto const owner = open.find(attempt.request.value()); owner != open.end() && !attempt.observed) {
         auto& request = *owner->second;
         std::erase(request.shards[attempt.shard].open, id);
         if (attempt.trial && !may_have_run(result.outcome)) --request.trials;
-        if (result.outcome != attempt_end::answered && ++request.summary.failed_attempts <= failures_named) {
+        if (result.outcome != attempt_status::answered && ++request.summary.failed_attempts <= failures_named) {
             request.summary.failure_details +=
-                attempt.target->entry.id.value() + ":" + to_string(result.outcome) + ":" + result.detail + " ";
+                attempt.target->registration.id.value() + ":" + to_string(result.outcome) + ":" + result.detail + " ";
         }
-        if (result.outcome == attempt_end::answered) {
+        if (result.outcome == attempt_status::answered) {
             bool const held = usable_answer(request, result.response) && on_survived(request, now);
             on_answer(request, attempt.shard, std::move(result.response), now);
             if (held) send_held(request, now);
-        } else if (result.outcome != attempt_end::disconnected || on_disconnect(request, now)) {
+        } else if (result.outcome != attempt_status::disconnected || on_disconnect(request, now)) {
             on_failure(request, attempt.shard, result, now);
         }
         if (request.cautious) next_cautious(request, now);
@@ -275,7 +277,8 @@
 void dispatcher::impl::note_warmup(backend_server& server, http_response const& response, time_point now) const
 {
     if (options.names.warmup_left.empty()) return;
-    if (auto const left = parse_ms(response.header(options.names.warmup_left))) server.place.cold_until = now + *left;
+    if (auto const left = parse_ms(response.header(options.names.warmup_left)))
+        server.placement.cold_until = now + *left;
 }
 
 bool dispatcher::impl::usable_answer(request_state const& request, http_response const& response) const
@@ -306,7 +309,7 @@
 {
     auto& shard = request.shards[index];
     if (!may_have_run(result.outcome)) --shard.runs;
-    if (result.outcome == attempt_end::not_sent) --shard.arrivals;
+    if (result.outcome == attempt_status::not_sent) --shard.arrivals;
     if (shard.done || shard.failed || !shard.open.empty()) return;
     retry(request, index, now);
     rearm(request, now);
@@ -317,7 +320,7 @@
 {
     auto& shard = request.shards[index];
     shard.done = true;
-    shard.group->outlook.on_outcome(true, now);
+    shard.group->availability.on_outcome(true, now);
     shard.hedge_at = shard.retry_at = time_point::max();
     ++request.done;
     if (2 * request.done >= request.shards.size() && !request.half_answered) {
@@ -337,7 +340,7 @@
     auto& shard = request.shards[index];
     if (shard.done || shard.failed) return;
     shard.failed = true;
-    shard.group->outlook.on_outcome(false, now);
+    shard.group->availability.on_outcome(false, now);
     shard.hedge_at = shard.retry_at = time_point::max();
     ++request.failed;
     check_finish(request, now);
--- a/src/dispatch/dispatcher_caution.cpp
+++ b/src/dispatch/dispatcher_caution.cpp
@@ -31,15 +31,15 @@
     summary.request_line = (message.method + " " + message.header("host") + message.path).substr(0, logged_line_length);
 }
 
-request_standing dispatcher::impl::look_up(request_state& request, time_point now)
+quarantine_status dispatcher::impl::look_up(request_state& request, time_point now)
 {
-    if (quarantine.empty()) return request_standing::clear;
+    if (quarantine.empty()) return quarantine_status::clear;
     auto const digest = digest_of(request.message);
-    auto const standing = quarantine.standing(digest, now);
-    if (standing == request_standing::clear) return standing;
+    auto const standing = quarantine.status(digest, now);
+    if (standing == quarantine_status::clear) return standing;
     if (answered.contains(request.message, now)) {
-        quarantine.on_answered(digest, now);
-        return request_standing::clear;
+        quarantine.on_response(digest, now);
+        return quarantine_status::clear;
     }
     look_at(request);
     return standing;
@@ -55,7 +55,7 @@
 
 void dispatcher::impl::begin_trial(request_state& request)
 {
-    quarantine.begin_trial(request.summary.digest);
+    quarantine.start_trial(request.summary.digest);
     request.on_trial = true;
     become_cautious(request);
 }
@@ -82,7 +82,7 @@
     ++request.summary.disconnects;
     if (request.survived) return true;
     look_at(request);
-    bool const convicted = quarantine.convicts(request.summary.digest, request.summary.disconnects);
+    bool const convicted = quarantine.reaches_crash_threshold(request.summary.digest, request.summary.disconnects);
     if (request.trials > 0 && convicted && !answered.contains(request.message, now)) {
         finish(request.key, failure_answer(request, false), "crashed_servers", now);
         return false;
@@ -157,7 +157,7 @@
     request.survived = true;
     if (!std::exchange(request.cautious, false)) return false;
     look_at(request);
-    quarantine.on_answered(request.summary.digest, now);
+    quarantine.on_response(request.summary.digest, now);
     return true;
 }
 
@@ -168,7 +168,8 @@
         auto& shard = request.shards[i];
         bool const held = std::exchange(shard.held, false);
         if (!wanted(shard)) continue;
-        if (!shard.open.empty()) plan_hedge(request, shard, attempts.at(shard.open.back().value()).target->where, now);
+        if (!shard.open.empty())
+            plan_hedge(request, shard, attempts.at(shard.open.back().value()).target->distance, now);
         if (held) send_shard(request, i, now);
     }
     if (!open.contains(key)) return;
@@ -177,24 +178,24 @@
 }
 
 /**
- * A trial that ends without an answer convicts too, when enough servers have ended under the request before: otherwise
- * a caller that always leaves early could bring it to a server each time.
+ * A trial that ends without an answer reaches_crash_threshold too, when enough servers have ended under the request
+ * before: otherwise a caller that always leaves early could bring it to a server each time.
  */
 void dispatcher::impl::draw_conclusions(request_state& request, time_point now)
 {
     auto const& summary = request.summary;
-    if (request.on_trial) quarantine.end_trial(summary.digest);
+    if (request.on_trial) quarantine.finish_trial(summary.digest);
     if (request.survived) {
         answered.add(request.message, now);
         // Others may suspect by now what had begun before.
-        if (!quarantine.empty()) quarantine.on_answered(digest_of(request.message), now);
+        if (!quarantine.empty()) quarantine.on_response(digest_of(request.message), now);
     }
     bool const nothing_seen = summary.disconnects == 0 && !request.on_trial;
     if (request.survived || nothing_seen || answered.contains(request.message, now)) return;
     look_at(request);
     if (summary.disconnects > 0) quarantine.on_crashes(summary.digest, summary.disconnects, now);
-    if (request.trials > 0 && quarantine.convicts(summary.digest, 0)) {
-        quarantine.convict(summary.digest, now);
+    if (request.trials > 0 && quarantine.reaches_crash_threshold(summary.digest, 0)) {
+        quarantine.start_quarantine(summary.digest, now);
     }
 }
 
--- a/src/dispatch/dispatcher_impl.hpp
+++ b/src/dispatch/dispatcher_impl.hpp
@@ -18,8 +18,8 @@
     dispatcher_options options;                                             ///< Settings.
     config_holder const& configs;                                           ///< Configuration in force.
     backend_registry& registry;                                             ///< Backend servers.
-    place_rules const& places;                                              ///< Which of them a request may reach.
-    recent_answers answered;                                                ///< Requests that do not crash servers.
+    placement_rules const& placement;                                       ///< Which of them a request may reach.
+    recent_responses answered;                                              ///< Requests that do not crash servers.
     request_quarantine& quarantine;                                         ///< Requests that crash them.
     dispatcher_hooks hooks;                                                 ///< Outside calls.
     std::mt19937_64 random;                                                 ///< Tie breaks and jitter.
@@ -37,9 +37,9 @@
     /** Requests that ended during the present outside call; functions further up may still refer to them. */
     std::vector<std::unique_ptr<request_state>> ended;
 
-    impl(dispatcher_options o, config_holder const& c, backend_registry& r, place_rules const& p, request_quarantine& q,
-         dispatcher_hooks h, std::uint64_t seed)
-        : options(std::move(o)), configs(c), registry(r), places(p), quarantine(q), hooks(std::move(h)), random(seed)
+    impl(dispatcher_options o, config_holder const& c, backend_registry& r, placement_rules const& p,
+         request_quarantine& q, dispatcher_hooks h, std::uint64_t seed)
+        : options(std::move(o)), configs(c), registry(r), placement(p), quarantine(q), hooks(std::move(h)), random(seed)
     {
     }
 
@@ -82,9 +82,9 @@
     /** @return the wait in seconds when too few shards have room, else 0. */
     double blocked_wait_s(request_state& request, time_point now) const;
     /** @return what a choice of a backend server goes by. */
-    selection_scope scope(request_state const& request, shard_state const& shard) const;
+    selection_context scope(request_state const& request, shard_state const& shard) const;
     /** Notes that no backend server was left for a shard, for the log. */
-    static void note_miss(request_summary& summary, selection_miss miss);
+    static void note_miss(request_summary& summary, selection_failure miss);
     /** @return the share of queries like this one that its shards can answer. */
     static double coverable(request_state const& request, time_point now);
     /** @return whether a query may begin now. */
@@ -99,7 +99,7 @@
     /** Notes the digest of a request, for the quarantine and the log. */
     static void look_at(request_state& request);
     /** @return what is believed of a request that arrives. */
-    request_standing look_up(request_state& request, time_point now);
+    quarantine_status look_up(request_state& request, time_point now);
     /** @return the refusal of a request in quarantine, with the time that it stays there. */
     http_response quarantine_refusal(request_state const& request, time_point now) const;
     /** A suspect begins: it goes to one backend server at a time. */
@@ -132,7 +132,7 @@
     /** Sets when the attempt of a shard that is under way at @p where is hedged. */
     void plan_hedge(request_state const& request, shard_state& shard, proximity where, time_point now) const;
     /** Chooses a backend server and sends an attempt. @return why not, if not. */
-    selection_miss send(request_state& request, std::size_t index, attempt_reason reason, time_point now);
+    selection_failure send(request_state& request, std::size_t index, attempt_reason reason, time_point now);
     /** Sends an attempt to a chosen backend server. */
     void submit(request_state& request, std::size_t index, selection const& chosen, attempt_reason reason,
                 time_point now);
--- a/src/dispatch/preconnect.cpp
+++ b/src/dispatch/preconnect.cpp
@@ -6,7 +6,7 @@
 namespace cornelspring {
 
 std::vector<std::shared_ptr<backend_server>>
-backends_to_preconnect(serving_config const& config, backend_registry& registry, place_rules const& places,
+backends_to_preconnect(serving_config const& config, backend_registry& registry, placement_rules const& placement,
                        std::function<bool(std::shared_ptr<backend_server> const&)> const& connected,
                        std::mt19937_64& random, time_point now)
 {
@@ -15,25 +15,25 @@
     for (auto const& via : config.routes()) {
         if (!via.gather) continue;
         for (auto const& shard : via.gather->shards)
-            services[shard].insert(via.homes);
+            services[shard].insert(via.home_regions);
     }
     std::vector<std::shared_ptr<backend_server>> missing;
     for (auto const& [service, all_homes] : services) {
         auto const reachable = [&, &service = service, &all_homes = all_homes](backend_server const& server) {
             return std::any_of(all_homes.begin(), all_homes.end(), [&](region_set const& homes) {
-                place_demand const asked{homes, config.warmup(service)};
-                return places.refusal(server.place, asked, now) == place_refusal::none;
+                placement_requirements const asked{homes, config.warmup(service)};
+                return placement.refusal(server.placement, asked, now) == placement_refusal::none;
             });
         };
         for (auto const& server : registry.group(service).backends) {
             bool const wanted =
-                !server->gone && !server->draining_since && !server->load.suspect(now) && reachable(*server);
+                !server->removed && !server->draining_since && !server->load.suspect(now) && reachable(*server);
             if (wanted && server->load.in_flight() == 0 && !connected(server)) missing.push_back(server);
         }
     }
     std::shuffle(missing.begin(), missing.end(), random);
     std::stable_sort(missing.begin(), missing.end(),
-                     [](auto const& left, auto const& right) { return left->where < right->where; });
+                     [](auto const& left, auto const& right) { return left->distance < right->distance; });
     return missing;
 }
 
--- a/src/emulator/emulator.cpp
+++ b/src/emulator/emulator.cpp
@@ -42,7 +42,7 @@
         std::size_t region = 0;                                       ///< Region.
         config_holder configs;                                        ///< Configuration.
         std::unique_ptr<backend_registry> registry;                   ///< Backend servers.
-        place_rules places;                                           ///< Which of them a request may reach.
+        placement_rules placement;                                    ///< Which of them a request may reach.
         request_quarantine quarantine;                                ///< Requests that crash backend servers.
         std::unique_ptr<dispatcher> requests;                         ///< Decisions.
         std::unordered_map<std::uint64_t, caller_task> open;          ///< Callers by request key.
@@ -121,7 +121,7 @@
 std::shared_ptr<serving_config const> model::make_config() const
 {
     std::vector<route> routes;
-    std::map<service_name, service_spec_limits> services;
+    std::map<service_name, service_limits> services;
     gather_spec gather;
     for (int i = 0; i < m_deployment.shards; ++i) {
         gather.shards.emplace_back("s" + std::to_string(i));
@@ -159,16 +159,16 @@
         try_again(task, {});
     vm.quarantine = request_quarantine();
     for (auto const& [name, records] : m_told) {
-        if (name != vm.name) vm.quarantine.learn(name, records, m_todo.now());
+        if (name != vm.name) vm.quarantine.apply_peer_records(name, records, m_todo.now());
     }
     vm.quarantine.on_change([this, &vm](request_quarantine::change const& change) {
-        if (change.to_tell) tell_crash_records(vm);
+        if (change.own_record_changed) tell_crash_records(vm);
     });
-    vm.configs.offer(make_config());
+    vm.configs.set_if_newer(make_config());
     int number = 0;
     for (int shard = 0; shard < m_deployment.shards; ++shard) {
         for (int replica = 0; replica < m_deployment.replicas; ++replica, ++number) {
-            backend_entry entry;
+            backend_registration entry;
             entry.id = backend_id("b" + std::to_string(number));
             entry.service = service_name("s" + std::to_string(shard));
             entry.domain = domain(static_cast<std::size_t>((shard + replica) % m_deployment.regions));
@@ -186,8 +186,8 @@
     };
     hooks.respond = [this, &vm](request_key key, http_response response) { answered(vm, key, response); };
     hooks.on_finished = [](request_summary const&) {};
-    vm.requests = std::make_unique<dispatcher>(m_deployment.options, vm.configs, *vm.registry, vm.places, vm.quarantine,
-                                               std::move(hooks), m_random());
+    vm.requests = std::make_unique<dispatcher>(m_deployment.options, vm.configs, *vm.registry, vm.placement,
+                                               vm.quarantine, std::move(hooks), m_random());
 
     vm.requests->set_vm_count(static_cast<std::size_t>(m_deployment.vms));
 }
@@ -215,9 +215,9 @@
 
 void model::send(gateway_vm& vm, outgoing_attempt order)
 {
-    auto const index = m_server_index.at(order.target->entry.id.value());
+    auto const index = m_server_index.at(order.target->registration.id.value());
     std::size_t region = 0;
-    while (domain(region) != order.target->entry.domain)
+    while (domain(region) != order.target->registration.domain)
         ++region;
     ++m_result.attempts;
     if (region != vm.region) ++m_result.other_region;
@@ -229,10 +229,10 @@
     auto work = std::make_shared<job>();
     work->work_ms = draw_work(*kind);
     if (order.request_id == crashing_path) work->crashes = [this] { on_crashed(); };
-    work->done = [this, &vm, id = order.id, way, life = vm.life](attempt_end end) {
+    work->done = [this, &vm, id = order.id, way, life = vm.life](attempt_status end) {
         m_todo.at(m_todo.now() + way, [this, &vm, id, end, life] {
             if (vm.life != life || vm.jobs.erase(id.value()) == 0) return;
-            if (end == attempt_end::not_executed) ++m_result.shed;
+            if (end == attempt_status::not_executed) ++m_result.shed;
             http_response response;
             response.headers = {{"signature", std::to_string(id.value())}};
             response.body.assign(record_size, 'r');
@@ -269,9 +269,9 @@
 void model::tell_crash_records(gateway_vm& vm)
 {
     m_todo.at(m_todo.now() + from_ms(m_deployment.told_ms), [this, &vm] {
-        auto const records = m_told[vm.name] = vm.quarantine.told(m_todo.now());
+        auto const records = m_told[vm.name] = vm.quarantine.own_records(m_todo.now());
         for (auto const& other : m_vms) {
-            if (other.get() != &vm) other->quarantine.learn(vm.name, records, m_todo.now());
+            if (other.get() != &vm) other->quarantine.apply_peer_records(vm.name, records, m_todo.now());
         }
     });
 }
--- a/src/emulator/modelled_server.hpp
+++ b/src/emulator/modelled_server.hpp
@@ -15,10 +15,10 @@
 
 /** An attempt at a modelled backend server. */
 struct job {
-    double work_ms = 0;                    ///< Work.
-    std::function<void(attempt_end)> done; ///< Receives the end.
-    bool cancelled = false;                ///< Given up by the gateway.
-    std::function<void()> crashes;         ///< Set for work that crashes its server: told when it does.
+    double work_ms = 0;                       ///< Work.
+    std::function<void(attempt_status)> done; ///< Receives the end.
+    bool cancelled = false;                   ///< Given up by the gateway.
+    std::function<void()> crashes;            ///< Set for work that crashes its server: told when it does.
 };
 
 /** A backend server: slots, queue, pauses, faults. */
@@ -34,11 +34,11 @@
     {
         if (dark) return;
         if (crashed) {
-            work->done(attempt_end::not_sent);
+            work->done(attempt_status::not_sent);
             return;
         }
         if (m_at_work.size() >= slots() && m_queue.size() >= static_cast<std::size_t>(m_deployment.queue)) {
-            work->done(attempt_end::not_executed);
+            work->done(attempt_status::not_executed);
             return;
         }
         m_queue.push_back(std::move(work));
@@ -53,7 +53,7 @@
         lost.insert(lost.end(), m_at_work.begin(), m_at_work.end());
         m_at_work.clear();
         for (auto const& work : lost) {
-            if (!work->cancelled) work->done(attempt_end::disconnected);
+            if (!work->cancelled) work->done(attempt_status::disconnected);
         }
     }
     double slowdown = 1;  ///< Factor on the work.
@@ -98,7 +98,7 @@
             return;
         }
         m_at_work.erase(found);
-        if (!work->cancelled && !dark) work->done(attempt_end::answered);
+        if (!work->cancelled && !dark) work->done(attempt_status::answered);
         start_some();
     }
 
--- a/src/gateway/backend_pool.cpp
+++ b/src/gateway/backend_pool.cpp
@@ -89,8 +89,8 @@
     bool const fresh = entry.connection == nullptr;
     if (fresh) {
         ++opened;
-        entry.connection = std::make_unique<client_connection>(loop, order.target->entry.address, stream_options{},
-                                                               options.response_limits);
+        entry.connection = std::make_unique<client_connection>(loop, order.target->registration.address,
+                                                               stream_options{}, options.response_limits);
         entry.connect_timer = loop.run_at(loop.now() + options.connect_limit, [this, id] { connect_hangs(id); });
     }
     client_connection::exchange exchange;
@@ -110,7 +110,7 @@
     auto const found = in_use.find(id.value());
     if (found == in_use.end() || found->second.connection->established()) return;
     in_use.erase(found);
-    on_result(id, {attempt_end::not_sent, {}, "connect timed out"});
+    on_result(id, {attempt_status::not_sent, {}, "connect timed out"});
 }
 
 void backend_pool::impl::done(attempt_id id, exchange_result result)
@@ -128,16 +128,17 @@
 
 attempt_result backend_pool::impl::classify(exchange_result result) const
 {
-    if (result.closed) return {attempt_end::disconnected, {}, result.detail};
-    if (!result.answered) return {result.sent ? attempt_end::lost : attempt_end::not_sent, {}, result.detail};
+    if (result.closed) return {attempt_status::disconnected, {}, result.detail};
+    if (!result.answered) return {result.sent ? attempt_status::lost : attempt_status::not_sent, {}, result.detail};
     auto& response = result.response;
     constexpr int status_misdirected = 421;
-    if (response.status == status_misdirected) return {attempt_end::wrong_server, {}, "another server at the address"};
+    if (response.status == status_misdirected)
+        return {attempt_status::wrong_server, {}, "another server at the address"};
     if (!response.header(options.names.not_executed).empty()) {
-        return {attempt_end::not_executed, std::move(response), "shed"};
+        return {attempt_status::not_executed, std::move(response), "shed"};
     }
-    if (!response.header("content-encoding").empty()) return {attempt_end::lost, {}, "encoded response"};
-    return {attempt_end::answered, std::move(response), ""};
+    if (!response.header("content-encoding").empty()) return {attempt_status::lost, {}, "encoded response"};
+    return {attempt_status::answered, std::move(response), ""};
 }
 
 void backend_pool::impl::keep(std::shared_ptr<backend_server> const& server,
@@ -159,8 +160,8 @@
 {
     if (preparing.contains(server)) return;
     ++opened;
-    auto connection =
-        std::make_unique<client_connection>(loop, server->entry.address, stream_options{}, options.response_limits);
+    auto connection = std::make_unique<client_connection>(loop, server->registration.address, stream_options{},
+                                                          options.response_limits);
     connection->on_connected([this, server](bool established) {
         // Later: this runs inside the connection's own callback.
         loop.run_at(loop.now(), [this, server, established] { on_prepared(server, established); });
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -32,8 +32,8 @@
         metrics.on_request(summary);
         log.on_request(summary, followers.age());
     };
-    requests = std::make_unique<dispatcher>(settings.dispatch, configs, registry, places, quarantine, std::move(hooks),
-                                            random());
+    requests = std::make_unique<dispatcher>(settings.dispatch, configs, registry, placement, quarantine,
+                                            std::move(hooks), random());
     requests->set_vm_count(least_vms);
 }
 
@@ -106,7 +106,7 @@
         return;
     } else if (path == settings.metrics_path) {
         metrics.set_state({requests->open_requests(), callers->connections(), pool->connections_opened(),
-                           places.evacuated().orders().size(), registry.cold_count(loop.now()),
+                           placement.evacuated().domains().size(), registry.cold_count(loop.now()),
                            mirror.as_of().era.value(), superseded});
         response.headers.push_back({"content-type", "text/plain; version=0.0.4"});
         response.body = metrics.text();
@@ -119,7 +119,7 @@
 http_response gateway::impl::addresses(std::string const& target)
 {
     auto const asked = settings.decode_address_query(target);
-    auto const homes = configs.current() ? configs.current()->homes_of_host(asked.host) : region_set{};
+    auto const homes = configs.current() ? configs.current()->home_regions_of_host(asked.host) : region_set{};
     auto chosen = choose_addresses(members, active, asked, homes, random);
     // Before a gateway hears of any registration, its own included, it knows one that serves: itself.
     if (chosen.empty() && ready() && settings.caller_address) chosen.push_back(*settings.caller_address);
--- a/src/gateway/gateway_connections.cpp
+++ b/src/gateway/gateway_connections.cpp
@@ -21,7 +21,7 @@
     if (stopping || !configs.current() || !active.contains(member_key())) return;
     auto const connected = [this](std::shared_ptr<backend_server> const& server) { return pool->prepared(server); };
     bool const idle = connections_ahead.empty();
-    connections_ahead = backends_to_preconnect(*configs.current(), registry, places, connected, random, loop.now());
+    connections_ahead = backends_to_preconnect(*configs.current(), registry, placement, connected, random, loop.now());
     if (idle) open_connections_ahead();
 }
 
--- a/src/gateway/gateway_impl.hpp
+++ b/src/gateway/gateway_impl.hpp
@@ -25,7 +25,7 @@
     event_loop loop;                      ///< The I/O thread.
     config_holder configs;                ///< Configuration in force.
     backend_registry registry;            ///< Backend servers.
-    place_rules places;                   ///< Which of them a request may reach.
+    placement_rules placement;            ///< Which of them a request may reach.
     request_quarantine quarantine;        ///< Requests that crash backend servers.
     member_map members;                   ///< Gateways.
     std::set<std::string> active;         ///< Gateways that callers are sent to.
@@ -59,7 +59,7 @@
 
     impl(gateway_settings s, store_codec c)
         : settings(std::move(s)), codec(std::move(c)), registry(settings.location, lapse_grace),
-          places(settings.warmup), followers(mirror, follower_hooks()), log(loop),
+          placement(settings.warmup), followers(mirror, follower_hooks()), log(loop),
           peer_codec(make_peer_codec(member_key())), source_calls(loop, codec, peer_codec)
     {
         loop.set_uplink(settings.uplink_bytes_per_s);
@@ -105,7 +105,7 @@
     /** Notes whether a call to the store succeeded. */
     void on_store_call(bool ok);
     /** The store is back after an outage. */
-    void on_store_back();
+    void on_store_recovered();
     /** @return what to take in of the first read of an era, @p differences to what was known before. */
     std::vector<store_item> on_restored(std::vector<store_item> differences, store_position known,
                                         store_position as_of);
--- a/src/gateway/gateway_log.cpp
+++ b/src/gateway/gateway_log.cpp
@@ -239,7 +239,7 @@
     if (!allowed(m_quarantine, quarantine_lines)) return;
     write({{"event", "quarantine"},
            {"digest", change.digest.value()},
-           {"standing", to_string(change.standing)},
+           {"standing", to_string(change.status)},
            {"crashes", change.crashes},
            {"left_ms", left.count()},
            {"source", change.source.empty() ? "here" : change.source}});
--- a/src/gateway/gateway_metrics.cpp
+++ b/src/gateway/gateway_metrics.cpp
@@ -49,7 +49,7 @@
     if (summary.retries > 0) m_extra.Add({{"kind", "retry"}}).Increment(summary.retries);
 }
 
-void gateway_metrics::on_attempt(attempt_end end) { m_attempts.Add({{"end", to_string(end)}}).Increment(); }
+void gateway_metrics::on_attempt(attempt_status end) { m_attempts.Add({{"end", to_string(end)}}).Increment(); }
 
 void gateway_metrics::set_state(gauges const& values)
 {
--- a/src/gateway/gateway_metrics.hpp
+++ b/src/gateway/gateway_metrics.hpp
@@ -17,7 +17,7 @@
     /** Counts a request that ended. @param summary what became of it. */
     void on_request(request_summary const& summary);
     /** Counts an attempt that ended. @param end how. */
-    void on_attempt(attempt_end end);
+    void on_attempt(attempt_status end);
     /** Present values of the gauges. */
     struct gauges {
         std::size_t open_requests = 0;      ///< Requests not yet answered.
--- a/src/gateway/gateway_state.cpp
+++ b/src/gateway/gateway_state.cpp
@@ -49,7 +49,7 @@
         store_answers = source.is_store() ? store_answers + 1 : 0;
         if (source.is_store()) on_store_call(true);
         // A follower may not have called the store itself during an outage.
-        if (unheard > max_fresh_age) on_store_back();
+        if (unheard > max_fresh_age) on_store_recovered();
     };
     events.on_search_changed = [this](bool searching) { followers.set_searching(searching); };
     events.members = [this]() -> member_map const& { return members; };
@@ -77,13 +77,13 @@
     auto const outage = first ? milliseconds(0) : std::chrono::duration_cast<milliseconds>(loop.now() - store_lost_at);
     log.dependency("store", "regained", outage);
     if (first) return;
-    on_store_back();
+    on_store_recovered();
 }
 
 /** Entries that lapsed while the store was away get time to return; this comes before their removal is taken in. */
-void gateway::impl::on_store_back()
+void gateway::impl::on_store_recovered()
 {
-    registry.on_store_back(loop.now());
+    registry.on_store_recovered(loop.now());
     loop.run_at(loop.now() + lapse_grace, [this] { expire_lapsed(); });
 }
 
@@ -142,7 +142,7 @@
     std::erase_if(taken, [](store_item const& item) { return item.key.starts_with(crash_records_prefix); });
     registered->on_store_era(as_of.era);
     crash_records->on_store_era(as_of.era);
-    on_store_back();
+    on_store_recovered();
     loop.run_at(until, [this] { release_missing(); });
     return taken;
 }
@@ -190,13 +190,13 @@
 void gateway::impl::refresh_members()
 {
     auto const& config = configs.current();
-    double const connections = config ? config->fewest_connections() : 0;
+    double const connections = config ? config->min_gather_connections() : 0;
     auto const most = static_cast<std::size_t>(connections / connections_per_gateway);
     active = choose_active(members, most);
     // Those that callers are not sent to see next to no requests; one that is not active counts itself among all.
     auto const sharing = active.contains(member_key()) ? active.size() : members.size();
     requests->set_vm_count(std::max(sharing, least_vms));
-    places.shares().set_sharers(active, member_key(), loop.now());
+    placement.quotas().set_participants(active, member_key(), loop.now());
 }
 
 void gateway::impl::on_item(store_item const& item)
@@ -224,16 +224,16 @@
 {
     if (item.removed) return;
     auto const next = codec.parse_config(item.value);
-    bool const newer = configs.offer(next);
+    bool const newer = configs.set_if_newer(next);
     log.config(next->version(), item.position, newer);
 }
 
 void gateway::impl::on_evacuation(store_item const& item)
 {
     domain_name const domain(item.key.substr(codec.evacuation_prefix.size()));
-    auto& evacuated = places.evacuated();
+    auto& evacuated = placement.evacuated();
     auto const now = loop.now();
-    bool const changed = item.removed ? evacuated.end(domain, now) : evacuated.begin(domain);
+    bool const changed = item.removed ? evacuated.stop(domain, now) : evacuated.start(domain);
     if (changed) log.evacuation(domain, !item.removed, item.position, followers.age());
 }
 
@@ -275,12 +275,12 @@
 void gateway::impl::on_quarantine(request_quarantine::change const& change)
 {
     log.quarantine(change, quarantine.quarantine_left(change.digest, loop.now()));
-    if (!change.to_tell) return; // Each gateway tells only what it has seen itself.
+    if (!change.own_record_changed) return; // Each gateway tells only what it has seen itself.
     tells_crash_records = true;
     if (std::exchange(crash_records_due, true)) return;
     loop.run_at(loop.now() + crash_records_gap, [this] {
         crash_records_due = false;
-        crash_records->set(crash_records_key(), encode_crash_records(quarantine.told(loop.now())));
+        crash_records->set(crash_records_key(), encode_crash_records(quarantine.own_records(loop.now())));
     });
 }
 
@@ -288,17 +288,17 @@
 {
     auto const records = item.removed ? std::vector<crash_record>{} : decode_crash_records(item.value);
     if (item.key != crash_records_key()) {
-        quarantine.learn(item.key, records, loop.now());
+        quarantine.apply_peer_records(item.key, records, loop.now());
     } else if (item.removed) {
         crash_records->on_removed();
     } else if (!tells_crash_records) {
-        quarantine.resume(records, loop.now());
+        quarantine.restore_own_records(records, loop.now());
     }
 }
 
 void gateway::impl::expire_lapsed()
 {
-    for (auto const& id : registry.expire(loop.now()))
+    for (auto const& id : registry.remove_lapsed(loop.now()))
         note(id.value(), change_kind::gone, mirror.as_of());
     log_changes(mirror.as_of());
 }
--- a/src/places/evacuations.cpp
+++ b/src/places/evacuations.cpp
@@ -3,7 +3,7 @@
 
 namespace cornelspring {
 
-proximity locality::to(domain_name const& other) const
+proximity locality::proximity_to(domain_name const& other) const
 {
     if (other == domain) return proximity::same_domain;
     return region_of(other) == region ? proximity::same_region : proximity::other_region;
@@ -15,14 +15,14 @@
     return found == regions.end() ? region_name() : found->second;
 }
 
-bool evacuations::end(domain_name const& domain, time_point now)
+bool evacuations::stop(domain_name const& domain, time_point now)
 {
     if (m_orders.erase(domain) == 0) return false;
     m_ended[domain] = now;
     return true;
 }
 
-std::optional<time_point> evacuations::ended_at(domain_name const& domain) const
+std::optional<time_point> evacuations::stopped_at(domain_name const& domain) const
 {
     auto const found = m_ended.find(domain);
     if (found == m_ended.end()) return std::nullopt;
--- a/src/places/warmup.cpp
+++ b/src/places/warmup.cpp
@@ -22,7 +22,7 @@
 
 } // namespace
 
-void warmup_shares::set_sharers(std::set<std::string> const& sharers, std::string const& self, time_point now)
+void warmup_quotas::set_participants(std::set<std::string> const& sharers, std::string const& self, time_point now)
 {
     m_sharers.assign(sharers.begin(), sharers.end());
     m_self = self;
@@ -33,7 +33,7 @@
     }
 }
 
-int warmup_shares::share(std::string const& server, double bound, time_point now) const
+int warmup_quotas::quota(std::string const& server, double bound, time_point now) const
 {
     if (!m_since || now < *m_since + join_pause) return 0;
     auto const all = static_cast<std::size_t>(std::max(0.0, used_share * bound));
@@ -45,14 +45,14 @@
     return static_cast<int>(all / count + (ahead < rest ? 1 : 0));
 }
 
-void warmup_pace::on_sent(time_point now)
+void warmup_send_counter::on_sent(time_point now)
 {
     while (!m_sent.empty() && m_sent.front() <= now - pace_window)
         m_sent.pop_front();
     m_sent.push_back(now);
 }
 
-int warmup_pace::recent(time_point now) const
+int warmup_send_counter::count(time_point now) const
 {
     return static_cast<int>(
         std::count_if(m_sent.begin(), m_sent.end(), [now](time_point sent) { return sent > now - pace_window; }));
--- a/src/quarantine/crash_records.cpp
+++ b/src/quarantine/crash_records.cpp
@@ -11,7 +11,7 @@
     for (auto const& record : records) {
         list.push_back({{"digest", record.digest.value()},
                         {"crashes", record.crashes},
-                        {"convictions", record.convictions},
+                        {"convictions", record.quarantines},
                         {"quarantine_left_ms", record.quarantine_left.count()},
                         {"answered", record.answered}});
     }
--- a/src/quarantine/request_digest.cpp
+++ b/src/quarantine/request_digest.cpp
@@ -45,13 +45,13 @@
     return request_digest(std::move(hex));
 }
 
-void recent_answers::add(http_request const& request, time_point now)
+void recent_responses::add(http_request const& request, time_point now)
 {
     auto const key = std::hash<std::string>()(question_of(request));
     m_answered[key % places] = {key, now};
 }
 
-bool recent_answers::contains(http_request const& request, time_point now) const
+bool recent_responses::contains(http_request const& request, time_point now) const
 {
     auto const key = std::hash<std::string>()(question_of(request));
     auto const& found = m_answered[key % places];
--- a/src/quarantine/request_quarantine.cpp
+++ b/src/quarantine/request_quarantine.cpp
@@ -5,12 +5,12 @@
 
 namespace cornelspring {
 
-char const* to_string(request_standing standing)
+char const* to_string(quarantine_status standing)
 {
     switch (standing) {
-    case request_standing::clear: return "clear";
-    case request_standing::suspect: return "suspect";
-    case request_standing::quarantined: return "quarantined";
+    case quarantine_status::clear: return "clear";
+    case quarantine_status::suspect: return "suspect";
+    case quarantine_status::quarantined: return "quarantined";
     }
     return "unknown";
 }
@@ -33,16 +33,16 @@
     return seen_here;
 }
 
-request_standing request_quarantine::known_request::standing(time_point now) const
+quarantine_status request_quarantine::known_request::standing(time_point now) const
 {
-    if (now < quarantined_until) return request_standing::quarantined;
-    return crashes() > 0 && now < forget_at ? request_standing::suspect : request_standing::clear;
+    if (now < quarantined_until) return quarantine_status::quarantined;
+    return crashes() > 0 && now < forget_at ? quarantine_status::suspect : quarantine_status::clear;
 }
 
-request_standing request_quarantine::standing(request_digest const& digest, time_point now) const
+quarantine_status request_quarantine::status(request_digest const& digest, time_point now) const
 {
     auto const found = m_requests.find(digest.value());
-    return found == m_requests.end() ? request_standing::clear : found->second.standing(now);
+    return found == m_requests.end() ? quarantine_status::clear : found->second.standing(now);
 }
 
 milliseconds request_quarantine::quarantine_left(request_digest const& digest, time_point now) const
@@ -53,11 +53,11 @@
     return std::max(std::chrono::duration_cast<milliseconds>(left), milliseconds(0));
 }
 
-bool request_quarantine::convicts(request_digest const& digest, int crashes) const
+bool request_quarantine::reaches_crash_threshold(request_digest const& digest, int crashes) const
 {
     auto const found = m_requests.find(digest.value());
     int const known = found == m_requests.end() ? 0 : found->second.crashes();
-    return known + crashes >= m_options.convicting_crashes;
+    return known + crashes >= m_options.crash_threshold;
 }
 
 bool request_quarantine::on_trial(request_digest const& digest) const
@@ -66,13 +66,13 @@
     return found != m_requests.end() && found->second.on_trial;
 }
 
-void request_quarantine::begin_trial(request_digest const& digest)
+void request_quarantine::start_trial(request_digest const& digest)
 {
     auto const found = m_requests.find(digest.value());
     if (found != m_requests.end()) found->second.on_trial = true;
 }
 
-void request_quarantine::end_trial(request_digest const& digest)
+void request_quarantine::finish_trial(request_digest const& digest)
 {
     auto const found = m_requests.find(digest.value());
     if (found != m_requests.end()) found->second.on_trial = false;
@@ -86,29 +86,29 @@
     report(digest, {}, true, now);
 }
 
-void request_quarantine::convict(request_digest const& digest, time_point now)
+void request_quarantine::start_quarantine(request_digest const& digest, time_point now)
 {
     auto& request = remember(digest, now);
-    auto length = m_options.first;
-    for (int i = 0; i < request.convictions && length < m_options.longest; ++i)
+    auto length = m_options.first_duration;
+    for (int i = 0; i < request.convictions && length < m_options.max_duration; ++i)
         length *= 2;
     ++request.convictions;
     request.convicted_here = true;
-    request.quarantined_until = std::max(request.quarantined_until, now + std::min(length, m_options.longest));
+    request.quarantined_until = std::max(request.quarantined_until, now + std::min(length, m_options.max_duration));
     report(digest, {}, true, now);
 }
 
-void request_quarantine::on_answered(request_digest const& digest, time_point now)
+void request_quarantine::on_response(request_digest const& digest, time_point now)
 {
     auto const found = m_requests.find(digest.value());
-    if (found == m_requests.end() || found->second.standing(now) == request_standing::clear) return;
+    if (found == m_requests.end() || found->second.standing(now) == quarantine_status::clear) return;
     found->second.clear();
     found->second.answered = true;
-    found->second.forget_at = now + m_options.longest;
+    found->second.forget_at = now + m_options.max_duration;
     report(digest, {}, true, now);
 }
 
-std::vector<crash_record> request_quarantine::told(time_point now) const
+std::vector<crash_record> request_quarantine::own_records(time_point now) const
 {
     std::vector<crash_record> records;
     for (auto const& [digest, request] : m_requests) {
@@ -116,7 +116,7 @@
         if (!seen_here || now >= request.forget_at) continue;
         crash_record record{request_digest(digest), request.own_crashes, 0, milliseconds(0), request.answered};
         if (request.convicted_here) {
-            record.convictions = request.convictions;
+            record.quarantines = request.convictions;
             record.quarantine_left = quarantine_left(record.digest, now);
         }
         records.push_back(std::move(record));
@@ -124,7 +124,8 @@
     return records;
 }
 
-void request_quarantine::learn(std::string const& source, std::vector<crash_record> const& records, time_point now)
+void request_quarantine::apply_peer_records(std::string const& source, std::vector<crash_record> const& records,
+                                            time_point now)
 {
     std::map<std::string, crash_record> next;
     for (auto const& record : records)
@@ -133,8 +134,8 @@
         if (!next.contains(digest)) request.told.erase(source);
     }
     for (auto const& [digest, record] : next) {
-        auto const before = standing(record.digest, now);
-        if (record.answered && before == request_standing::clear) continue;
+        auto const before = status(record.digest, now);
+        if (record.answered && before == quarantine_status::clear) continue;
         auto& request = remember(record.digest, now);
         request.told[source] = record.crashes;
         extend_quarantine(request, record, now);
@@ -144,13 +145,13 @@
     }
 }
 
-void request_quarantine::resume(std::vector<crash_record> const& records, time_point now)
+void request_quarantine::restore_own_records(std::vector<crash_record> const& records, time_point now)
 {
     for (auto const& record : records) {
         auto& request = remember(record.digest, now);
         if (request.own_crashes > 0 || record.answered) continue;
         request.own_crashes = record.crashes;
-        request.convicted_here = record.convictions > 0;
+        request.convicted_here = record.quarantines > 0;
         extend_quarantine(request, record, now);
         report(record.digest, {}, true, now);
     }
@@ -158,16 +159,16 @@
 
 void request_quarantine::extend_quarantine(known_request& request, crash_record const& record, time_point now) const
 {
-    auto const left = std::min(record.quarantine_left, m_options.longest);
+    auto const left = std::min(record.quarantine_left, m_options.max_duration);
     request.quarantined_until = std::max(request.quarantined_until, now + left);
-    request.convictions = std::max(request.convictions, record.convictions);
+    request.convictions = std::max(request.convictions, record.quarantines);
 }
 
 request_quarantine::known_request& request_quarantine::remember(request_digest const& digest, time_point now)
 {
     if (!m_requests.contains(digest.value())) forget(now);
     auto& request = m_requests[digest.value()];
-    request.forget_at = now + m_options.longest;
+    request.forget_at = now + m_options.max_duration;
     return request;
 }
 
@@ -177,7 +178,7 @@
         auto const& request = each.second;
         return !request.on_trial && now >= std::max(request.forget_at, request.quarantined_until);
     });
-    if (m_requests.size() < m_options.kept) return;
+    if (m_requests.size() < m_options.max_requests) return;
     // One on trial goes last: its outcome is about to come in.
     auto const age_order = [](auto const& left, auto const& right) {
         return std::pair(left.second.on_trial, left.second.forget_at) <
@@ -192,7 +193,7 @@
     if (!m_on_change) return;
     auto const found = m_requests.find(digest.value());
     int const crashes = found == m_requests.end() ? 0 : found->second.crashes();
-    m_on_change({digest, standing(digest, now), crashes, source, to_tell});
+    m_on_change({digest, status(digest, now), crashes, source, to_tell});
 }
 
 } // namespace cornelspring
--- a/src/routing/backend_registry.cpp
+++ b/src/routing/backend_registry.cpp
@@ -33,23 +33,23 @@
 
 } // namespace
 
-char const* to_string(attempt_end end)
+char const* to_string(attempt_status end)
 {
     switch (end) {
-    case attempt_end::answered: return "answered";
-    case attempt_end::not_executed: return "not_executed";
-    case attempt_end::wrong_server: return "wrong_server";
-    case attempt_end::not_sent: return "not_sent";
-    case attempt_end::lost: return "lost";
-    case attempt_end::disconnected: return "disconnected";
+    case attempt_status::answered: return "answered";
+    case attempt_status::not_executed: return "not_executed";
+    case attempt_status::wrong_server: return "wrong_server";
+    case attempt_status::not_sent: return "not_sent";
+    case attempt_status::lost: return "lost";
+    case attempt_status::disconnected: return "disconnected";
     }
     return "unknown";
 }
 
-void backend_load::on_ended(attempt_end end, std::chrono::microseconds took, time_point now)
+void backend_load::on_finished(attempt_status end, std::chrono::microseconds took, time_point now)
 {
     --m_in_flight;
-    bool const ok = end == attempt_end::answered;
+    bool const ok = end == attempt_status::answered;
     m_failure_rate += failure_rate_weight * ((ok ? 0.0 : 1.0) - m_failure_rate);
     if (ok) {
         double const sample = static_cast<double>(took.count()) / 1000.0;
@@ -59,7 +59,7 @@
         m_suspect_until = {};
         return;
     }
-    if (end == attempt_end::not_executed) {
+    if (end == attempt_status::not_executed) {
         m_suspect_until = std::max(m_suspect_until, now + suspect_shed);
         return;
     }
@@ -86,38 +86,38 @@
 double backend_load::latency_ms(double usual, time_point now) const
 {
     if (m_latency_ms == 0) return usual;
-    return usual + (m_latency_ms - usual) * decayed(now - m_sampled_at, forget_half_life);
+    return usual + (m_latency_ms - usual) * decay_factor(now - m_sampled_at, forget_half_life);
 }
 
-bool backend_registry::outdated(backend_entry const& entry) const
+bool backend_registry::outdated(backend_registration const& entry) const
 {
     auto const known = m_backends.find(entry.id.value());
-    bool const counted = entry.started != start_time();
+    bool const counted = entry.started_at != start_time();
     if (known == m_backends.end()) {
         auto const ended = m_ended.find(entry.id.value());
         if (ended == m_ended.end()) return false;
         auto const& last = ended->second;
         // A store that comes back from an older copy holds entries of servers that have gone since.
-        if (entry.started == last.started) return counted && entry.sequence <= last.sequence;
-        return entry.started < last.started;
+        if (entry.started_at == last.started) return counted && entry.sequence <= last.sequence;
+        return entry.started_at < last.started;
     }
-    auto const& last = known->second->entry;
-    if (entry.started != last.started) return entry.started < last.started;
+    auto const& last = known->second->registration;
+    if (entry.started_at != last.started_at) return entry.started_at < last.started_at;
     return counted && entry.sequence < last.sequence;
 }
 
 void backend_registry::retire(std::shared_ptr<backend_server> const& server)
 {
-    server->gone = true;
-    std::erase(group(server->entry.service).backends, server);
+    server->removed = true;
+    std::erase(group(server->registration.service).backends, server);
 }
 
-bool backend_registry::apply(backend_entry const& entry, time_point now)
+bool backend_registry::apply(backend_registration const& entry, time_point now)
 {
     if (outdated(entry)) return false;
     auto& known = m_backends[entry.id.value()];
-    bool const other =
-        known != nullptr && (known->entry.started != entry.started || known->entry.service != entry.service);
+    bool const other = known != nullptr && (known->registration.started_at != entry.started_at ||
+                                            known->registration.service != entry.service);
     if (other) retire(std::exchange(known, nullptr));
     bool const is_new = known == nullptr;
     if (is_new) {
@@ -125,14 +125,15 @@
         group(entry.service).backends.push_back(known);
     }
     auto& server = *known;
-    bool const changed = is_new || server.gone || server.lapsed_until || server.entry.draining != entry.draining;
-    server.entry = entry;
-    server.where = m_place.to(entry.domain);
-    server.place.domain = entry.domain;
-    server.place.region = m_place.region_of(entry.domain);
-    server.place.id = entry.id.value();
-    server.place.cold_until = now + entry.warmup_left;
-    server.gone = false;
+    bool const changed =
+        is_new || server.removed || server.lapsed_until || server.registration.draining != entry.draining;
+    server.registration = entry;
+    server.distance = m_place.proximity_to(entry.domain);
+    server.placement.domain = entry.domain;
+    server.placement.region = m_place.region_of(entry.domain);
+    server.placement.id = entry.id.value();
+    server.placement.cold_until = now + entry.warmup_left;
+    server.removed = false;
     server.lapsed_until.reset();
     if (!entry.draining) {
         server.draining_since.reset();
@@ -147,11 +148,11 @@
     auto const found = m_backends.find(id.value());
     if (found == m_backends.end()) return false;
     auto& server = *found->second;
-    if (now < m_lapses_until && !server.entry.draining) {
+    if (now < m_lapses_until && !server.registration.draining) {
         if (!server.lapsed_until) server.lapsed_until = m_lapses_until;
         return true;
     }
-    ended_server const last{server.entry.started, server.entry.sequence};
+    ended_server const last{server.registration.started_at, server.registration.sequence};
     if (m_ended.insert_or_assign(id.value(), last).second) m_ended_order.push_back(id.value());
     if (m_ended_order.size() > ended_kept) {
         m_ended.erase(m_ended_order.front());
@@ -162,7 +163,7 @@
     return true;
 }
 
-std::vector<backend_id> backend_registry::expire(time_point now)
+std::vector<backend_id> backend_registry::remove_lapsed(time_point now)
 {
     std::vector<backend_id> dropped;
     for (auto const& [id, server] : m_backends) {
@@ -175,7 +176,7 @@
 
 std::size_t backend_registry::cold_count(time_point now) const
 {
-    auto const cold = [now](auto const& known) { return now < known.second->place.cold_until; };
+    auto const cold = [now](auto const& known) { return now < known.second->placement.cold_until; };
     return static_cast<std::size_t>(std::count_if(m_backends.begin(), m_backends.end(), cold));
 }
 
--- a/src/routing/moving_average.cpp
+++ b/src/routing/moving_average.cpp
@@ -8,11 +8,11 @@
 
 double sample_weight::after(clock::duration gap) const
 {
-    double const averages = std::chrono::duration<double>(gap) / std::chrono::duration<double>(average);
-    return std::clamp(1 - std::exp(-averages), least, most);
+    double const averages = std::chrono::duration<double>(gap) / std::chrono::duration<double>(time_constant);
+    return std::clamp(1 - std::exp(-averages), min_weight, max_weight);
 }
 
-double decayed(clock::duration age, milliseconds half_life)
+double decay_factor(clock::duration age, milliseconds half_life)
 {
     return std::exp2(-(std::chrono::duration<double>(age) / std::chrono::duration<double>(half_life)));
 }
--- a/src/routing/replica_choice.cpp
+++ b/src/routing/replica_choice.cpp
@@ -5,17 +5,17 @@
 
 namespace cornelspring {
 
-char const* to_string(selection_miss miss)
+char const* to_string(selection_failure miss)
 {
     switch (miss) {
-    case selection_miss::none: return "none";
-    case selection_miss::no_backend: return "no_backend";
-    case selection_miss::away: return "away";
-    case selection_miss::evacuated: return "evacuated";
-    case selection_miss::cold: return "cold";
-    case selection_miss::no_room: return "no_room";
-    case selection_miss::no_budget: return "no_budget";
-    case selection_miss::no_gain: return "no_gain";
+    case selection_failure::none: return "none";
+    case selection_failure::no_backend: return "no_backend";
+    case selection_failure::outside_home_regions: return "away";
+    case selection_failure::evacuated: return "evacuated";
+    case selection_failure::cold: return "cold";
+    case selection_failure::no_room: return "no_room";
+    case selection_failure::no_budget: return "no_budget";
+    case selection_failure::no_gain: return "no_gain";
     }
     return "unknown";
 }
@@ -31,7 +31,7 @@
 /** @return whether @p server may get work at @p now. */
 usability usable(backend_server const& server, selection_options const& options, time_point now)
 {
-    if (server.gone) return usability::none;
+    if (server.removed) return usability::none;
     if (!server.draining_since) return usability::normal;
     return now < *server.draining_since + options.draining_last_resort ? usability::last_resort : usability::none;
 }
@@ -39,13 +39,13 @@
 /** @return the expected wait at @p server in milliseconds. */
 double expected_wait_ms(backend_server const& server, double usual, selection_options const& options, time_point now)
 {
-    double const slots = std::max(1, server.entry.slots);
+    double const slots = std::max(1, server.registration.slots);
     double wait =
-        options.by_wait ? server.load.latency_ms(usual, now) * (1.0 + server.load.in_flight() / slots) : usual;
-    if (now < server.place.cold_until) wait *= options.cold_factor;
+        options.by_expected_wait ? server.load.latency_ms(usual, now) * (1.0 + server.load.in_flight() / slots) : usual;
+    if (now < server.placement.cold_until) wait *= options.cold_factor;
     wait *= 1.0 + options.failure_weight * server.load.failure_rate();
-    if (server.where == proximity::other_region) return wait + options.other_region_ms;
-    if (server.where == proximity::same_region) return wait + options.other_domain_ms;
+    if (server.distance == proximity::other_region) return wait + options.other_region_penalty_ms;
+    if (server.distance == proximity::same_region) return wait + options.other_domain_penalty_ms;
     return wait;
 }
 
@@ -75,35 +75,37 @@
 class miss_reason {
 public:
     /** A backend server was left out for a rule on places. */
-    void add(place_refusal refusal)
+    void add(placement_refusal refusal)
     {
-        if (refusal == place_refusal::away && m_miss == selection_miss::no_backend) m_miss = selection_miss::away;
-        if (refusal == place_refusal::evacuated && m_miss != selection_miss::cold) m_miss = selection_miss::evacuated;
-        if (refusal == place_refusal::cold) m_miss = selection_miss::cold;
+        if (refusal == placement_refusal::outside_home_regions && m_miss == selection_failure::no_backend)
+            m_miss = selection_failure::outside_home_regions;
+        if (refusal == placement_refusal::evacuated && m_miss != selection_failure::cold)
+            m_miss = selection_failure::evacuated;
+        if (refusal == placement_refusal::cold) m_miss = selection_failure::cold;
     }
     /** @return the reason. */
-    selection_miss value() const { return m_miss; }
+    selection_failure value() const { return m_miss; }
 
 private:
-    selection_miss m_miss = selection_miss::no_backend; ///< So far.
+    selection_failure m_miss = selection_failure::no_backend; ///< So far.
 };
 
 } // namespace
 
-selection_miss why_no_work(service_group const& group, selection_scope const& scope, time_point now)
+selection_failure unavailability_reason(service_group const& group, selection_context const& scope, time_point now)
 {
     miss_reason reason;
     for (auto const& server : group.backends) {
         if (usable(*server, scope.options, now) == usability::none) continue;
-        auto const refused = scope.places.refusal(server->place, scope.asked, now);
-        if (refused == place_refusal::none) return selection_miss::none;
+        auto const refused = scope.placement.refusal(server->placement, scope.requirements, now);
+        if (refused == placement_refusal::none) return selection_failure::none;
         reason.add(refused);
     }
     return reason.value();
 }
 
 selection choose_backend(service_group const& group, std::vector<backend_id> const& tried, int room,
-                         selection_scope const& scope, std::mt19937_64& random, time_point now)
+                         selection_context const& scope, std::mt19937_64& random, time_point now)
 {
     std::vector<candidate> good;
     std::vector<candidate> suspect;
@@ -111,25 +113,25 @@
     bool any = false;
     miss_reason reason;
     for (auto const& server : group.backends) {
-        if (std::find(tried.begin(), tried.end(), server->entry.id) != tried.end()) continue;
+        if (std::find(tried.begin(), tried.end(), server->registration.id) != tried.end()) continue;
         auto const use = usable(*server, scope.options, now);
         if (use == usability::none) continue;
-        if (auto const refused = scope.places.refusal(server->place, scope.asked, now);
-            refused != place_refusal::none) {
+        if (auto const refused = scope.placement.refusal(server->placement, scope.requirements, now);
+            refused != placement_refusal::none) {
             reason.add(refused);
             continue;
         }
         any = true;
         if (server->load.in_flight() >= room) continue;
-        candidate const made{server, expected_wait_ms(*server, group.usual_latency_ms, scope.options, now)};
-        bool const avoided = scope.options.suspicion && server->load.suspect(now);
+        candidate const made{server, expected_wait_ms(*server, group.average_latency_ms, scope.options, now)};
+        bool const avoided = scope.options.avoid_suspect && server->load.suspect(now);
         (use == usability::last_resort ? leaving : avoided ? suspect : good).push_back(made);
     }
     for (auto const* group_of : {&good, &suspect, &leaving}) {
         auto const [target, wait_ms] = pick_near_lowest(*group_of, random);
-        if (target) return {target, selection_miss::none, group_of != &good, wait_ms};
+        if (target) return {target, selection_failure::none, group_of != &good, wait_ms};
     }
-    return {nullptr, any ? selection_miss::no_room : reason.value(), false, 0};
+    return {nullptr, any ? selection_failure::no_room : reason.value(), false, 0};
 }
 
 } // namespace cornelspring
--- a/src/routing/retry_budget.cpp
+++ b/src/routing/retry_budget.cpp
@@ -30,7 +30,7 @@
 
 void retry_budget::on_request(time_point now) { ++at(now).requests; }
 
-double retry_budget::left(limits const& bound, std::size_t vms, time_point now)
+double retry_budget::remaining(limits const& bound, std::size_t vms, time_point now)
 {
     auto const second = second_of(now);
     double requests = 0;
@@ -45,9 +45,9 @@
     return used_share * (bound.ratio * requests + share) - extras;
 }
 
-bool retry_budget::take(limits const& bound, std::size_t vms, time_point now)
+bool retry_budget::try_consume(limits const& bound, std::size_t vms, time_point now)
 {
-    if (left(bound, vms, now) < 1.0) return false;
+    if (remaining(bound, vms, now) < 1.0) return false;
     ++at(now).extras;
     return true;
 }
--- a/src/routing/serving_config.cpp
+++ b/src/routing/serving_config.cpp
@@ -29,7 +29,7 @@
 } // namespace
 
 serving_config::serving_config(config_version version, std::vector<route> routes,
-                               std::map<service_name, service_spec_limits> services, caller_limits limits)
+                               std::map<service_name, service_limits> services, caller_limits limits)
     : m_version(version), m_routes(std::move(routes)), m_services(std::move(services)), m_limits(limits)
 {
     for (std::size_t i = 0; i < m_routes.size(); ++i) {
@@ -37,9 +37,10 @@
         if (!m_routes[i].gather) continue;
         for (auto const& shard : m_routes[i].gather->shards) {
             int const limit = max_connections(shard);
-            m_fewest_connections = m_fewest_connections == 0 ? limit : std::min(m_fewest_connections, limit);
+            m_min_gather_connections =
+                m_min_gather_connections == 0 ? limit : std::min(m_min_gather_connections, limit);
         }
-        m_routes[i].most_urgent = !outranked(m_routes[i], m_routes);
+        m_routes[i].highest_priority = !outranked(m_routes[i], m_routes);
     }
 }
 
@@ -56,15 +57,15 @@
     return found == m_services.end() ? unbounded : found->second.warmup;
 }
 
-region_set serving_config::homes_of_host(std::string const& host) const
+region_set serving_config::home_regions_of_host(std::string const& host) const
 {
     region_set some;
     std::optional<region_set> all;
     for (auto const& each : m_routes) {
-        if (each.host != host || each.homes.empty()) continue;
-        some.insert(each.homes.begin(), each.homes.end());
-        if (!all) all = each.homes;
-        std::erase_if(*all, [&each](region_name const& region) { return !each.homes.contains(region); });
+        if (each.host != host || each.home_regions.empty()) continue;
+        some.insert(each.home_regions.begin(), each.home_regions.end());
+        if (!all) all = each.home_regions;
+        std::erase_if(*all, [&each](region_name const& region) { return !each.home_regions.contains(region); });
     }
     return all && !all->empty() ? *all : some;
 }
@@ -82,7 +83,7 @@
     return port == std::string_view::npos ? nullptr : match(host.substr(0, port), path);
 }
 
-bool config_holder::offer(std::shared_ptr<serving_config const> next)
+bool config_holder::set_if_newer(std::shared_ptr<serving_config const> next)
 {
     if (m_current && next->version() <= m_current->version()) return false;
     m_current = std::move(next);
--- a/src/routing/shard_outlook.cpp
+++ b/src/routing/shard_availability.cpp
@@ -1,4 +1,4 @@
-/** @file shard_outlook.cpp How often one shard answered lately. */
+/** @file shard_availability.cpp How often one shard answered lately. */
 #include <cornelspring/routing.hpp>
 
 namespace cornelspring {
@@ -13,14 +13,14 @@
 
 } // namespace
 
-double shard_outlook::answered_share(time_point now) const
+double shard_availability::response_rate(time_point now) const
 {
-    return 1 - (1 - m_share) * decayed(now - m_sampled_at, recovery_half_life);
+    return 1 - (1 - m_share) * decay_factor(now - m_sampled_at, recovery_half_life);
 }
 
-void shard_outlook::on_outcome(bool answered, time_point now)
+void shard_availability::on_outcome(bool answered, time_point now)
 {
-    double const share = answered_share(now);
+    double const share = response_rate(now);
     m_share = share + outcome_weight.after(now - m_sampled_at) * ((answered ? 1.0 : 0.0) - share);
     m_sampled_at = now;
 }
--- a/tests/dispatcher_fixture.hpp
+++ b/tests/dispatcher_fixture.hpp
@@ -20,7 +20,7 @@
             for (char const* replica : {"a", "b"})
                 add_backend(service, replica);
         }
-        if (config != nullptr) configs.offer(config_of(1, {"g0", "g1", "g2", "g3"}));
+        if (config != nullptr) configs.set_if_newer(config_of(1, {"g0", "g1", "g2", "g3"}));
         options.names = {"request-id", "deadline", "target", "signature", "not-run", "warmup", "parts", "missing"};
         dispatcher_hooks hooks;
         hooks.send = [this](outgoing_attempt order) { sent.push_back(std::move(order)); };
@@ -29,7 +29,7 @@
             responses[key.value()] = std::move(response);
         };
         hooks.on_finished = [this](request_summary const& summary) { finished.push_back(summary); };
-        requests = std::make_unique<dispatcher>(std::move(options), configs, registry, places, quarantine,
+        requests = std::make_unique<dispatcher>(std::move(options), configs, registry, placement, quarantine,
                                                 std::move(hooks), 1);
     }
 
@@ -71,7 +71,7 @@
             gather.gather->shards.emplace_back(shard);
         gather.gather->top_k = 2;
         gather.gather->min_coverage = 0.75;
-        std::map<service_name, service_spec_limits> services;
+        std::map<service_name, service_limits> services;
         for (char const* service : {"s", "t", "g0", "g1", "g2", "g3"})
             services[service_name(service)] = {60, {}};
         return std::make_shared<serving_config const>(config_version(version), std::move(routes), std::move(services),
@@ -91,7 +91,7 @@
     }
 
     /** Ends attempt @p index without an answer. */
-    void finish_attempt(std::size_t index, attempt_end how)
+    void finish_attempt(std::size_t index, attempt_status how)
     {
         requests->on_result(sent[index].id, {how, {}, "test"}, now);
     }
@@ -99,7 +99,7 @@
     /** Answers attempt @p index. */
     void respond(std::size_t index, http_response response)
     {
-        requests->on_result(sent[index].id, {attempt_end::answered, std::move(response), ""}, now);
+        requests->on_result(sent[index].id, {attempt_status::answered, std::move(response), ""}, now);
     }
 
     /** Answers attempt @p index with a signed response. */
@@ -134,7 +134,7 @@
     time_point now = start_time;                       ///< Virtual time.
     config_holder configs;                             ///< Configuration.
     backend_registry registry;                         ///< Backend servers.
-    place_rules places;                                ///< Which of them a request may reach.
+    placement_rules placement;                         ///< Which of them a request may reach.
     request_quarantine quarantine;                     ///< Requests that crash backend servers.
     clock::duration max_unread{0};                     ///< Time that requests have waited unread.
     clock::duration round_trip{0};                     ///< Time on the network of the requests.
--- a/tests/test_backend_entries.cpp
+++ b/tests/test_backend_entries.cpp
@@ -22,21 +22,21 @@
 }
 
 /** @return an entry of "b". */
-backend_entry entry_of(std::int64_t started, std::int64_t sequence, bool draining = false)
+backend_registration entry_of(std::int64_t started, std::int64_t sequence, bool draining = false)
 {
-    backend_entry entry;
+    backend_registration entry;
     entry.id = backend_id("b");
     entry.service = service_name("s");
     entry.address = {"127.0.0.1", 1};
     entry.domain = domain_name("d");
     entry.draining = draining;
-    entry.started = start_time(started);
+    entry.started_at = start_time(started);
     entry.sequence = sequence;
     return entry;
 }
 
 /** @return a registry that knows "b". */
-backend_registry registry_with(backend_entry const& entry)
+backend_registry registry_with(backend_registration const& entry)
 {
     backend_registry registry({domain_name("d"), region_name("r"), {}}, 2200ms);
     registry.apply(entry, start);
@@ -50,20 +50,20 @@
     auto registry = registry_with(entry_of(1000, 50, true));
     auto const before = registry.find(backend_id("b"));
     before->load.on_sent();
-    before->load.on_ended(attempt_end::lost, 900ms, start);
+    before->load.on_finished(attempt_status::lost, 900ms, start);
     REQUIRE(before->load.suspect(start));
     auto restarted = entry_of(2000, 1);
     restarted.warmup_left = 3000ms;
     CHECK(registry.apply(restarted, start + 10ms));
     auto const after = registry.find(backend_id("b"));
     CHECK(after != before);
-    CHECK(before->gone);
-    CHECK_FALSE(after->gone);
+    CHECK(before->removed);
+    CHECK_FALSE(after->removed);
     CHECK_FALSE(after->draining_since);
     CHECK_FALSE(after->load.suspect(start + 10ms));
     CHECK(after->load.in_flight() == 0);
     CHECK(after->load.failure_rate() == 0);
-    CHECK(after->place.cold_until == start + 3010ms);
+    CHECK(after->placement.cold_until == start + 3010ms);
     CHECK(registry.group(service_name("s")).backends.size() == 1);
 }
 
@@ -72,7 +72,7 @@
     auto registry = registry_with(entry_of(2000, 1));
     CHECK_FALSE(registry.apply(entry_of(1000, 99, true), start));
     CHECK_FALSE(registry.find(backend_id("b"))->draining_since);
-    CHECK(registry.find(backend_id("b"))->entry.started == start_time(2000));
+    CHECK(registry.find(backend_id("b"))->registration.started_at == start_time(2000));
     registry.remove(backend_id("b"), start);
     CHECK_FALSE(registry.apply(entry_of(1000, 100), start));
     CHECK(registry.find(backend_id("b")) == nullptr);
@@ -113,11 +113,11 @@
     CHECK(entry.service == service_name("s"));
     CHECK(entry.slots == 2);
     CHECK(entry.sequence == 7);
-    CHECK(entry.started == start_time(1000000));
+    CHECK(entry.started_at == start_time(1000000));
     CHECK_FALSE(entry.draining);
     auto without_start = stored();
     without_start.erase("born");
-    CHECK(platform::decode_backend("i-1", without_start.dump()).started == start_time(0));
+    CHECK(platform::decode_backend("i-1", without_start.dump()).started_at == start_time(0));
 }
 
 TEST_CASE("entries: an entry of another writer names no backend server")
--- a/tests/test_busy_process.cpp
+++ b/tests/test_busy_process.cpp
@@ -43,8 +43,8 @@
         outgoing_attempt order;
         order.id = attempt_id(++sent);
         order.target = std::make_shared<backend_server>();
-        order.target->entry.id = backend_id("b");
-        order.target->entry.address = address;
+        order.target->registration.id = backend_id("b");
+        order.target->registration.address = address;
         order.head = "GET /x HTTP/1.1\r\nhost: h\r\n";
         order.caller_deadline = clock::now() + time;
         pool->send(std::move(order));
@@ -71,7 +71,7 @@
     REQUIRE(process.deadlines.size() == 1);
     CHECK(std::stoi(process.deadlines[0]) <= 800);
     CHECK(std::stoi(process.deadlines[0]) > 300);
-    CHECK(process.results.at(0).outcome == attempt_end::answered);
+    CHECK(process.results.at(0).outcome == attempt_status::answered);
 }
 
 TEST_CASE("busy process: a request whose time is up before it can leave is not sent")
@@ -81,7 +81,7 @@
     std::this_thread::sleep_for(100ms);
     process.loop.run();
     CHECK(process.deadlines.empty());
-    CHECK(process.results.at(0).outcome == attempt_end::not_sent);
+    CHECK(process.results.at(0).outcome == attempt_status::not_sent);
 }
 
 TEST_CASE("busy process: time for which requests may have waited unread is counted")
--- a/tests/test_caution.cpp
+++ b/tests/test_caution.cpp
@@ -20,7 +20,7 @@
 void crash_all(dispatcher_fixture& fleet, request_key key, std::size_t from)
 {
     for (auto i = from; i < fleet.sent.size() && !fleet.has_response(key); ++i) {
-        if (!fleet.cancelled.contains(fleet.sent[i].id.value())) fleet.finish_attempt(i, attempt_end::disconnected);
+        if (!fleet.cancelled.contains(fleet.sent[i].id.value())) fleet.finish_attempt(i, attempt_status::disconnected);
         fleet.advance(20ms);
     }
 }
@@ -32,12 +32,12 @@
     dispatcher_fixture fleet;
     auto const key = fleet.start("/gather/x", "id1");
     REQUIRE(fleet.sent.size() == 4);
-    fleet.finish_attempt(0, attempt_end::disconnected);
+    fleet.finish_attempt(0, attempt_status::disconnected);
     CHECK(fleet.sent.size() == 4); // The three others tell soon whether the query is to blame.
-    fleet.finish_attempt(1, attempt_end::disconnected);
+    fleet.finish_attempt(1, attempt_status::disconnected);
     CHECK(fleet.cancelled.size() == 2);
     REQUIRE(fleet.sent.size() == 5);
-    fleet.finish_attempt(4, attempt_end::disconnected);
+    fleet.finish_attempt(4, attempt_status::disconnected);
     CHECK(fleet.response_to(key).status == 502);
     CHECK(fleet.sent.size() == 5);
     CHECK(fleet.finished.back().reason == std::string("crashed_servers"));
@@ -56,11 +56,11 @@
 {
     dispatcher_fixture fleet;
     auto const key = fleet.start("/gather/x", "id1");
-    fleet.finish_attempt(0, attempt_end::disconnected);
+    fleet.finish_attempt(0, attempt_status::disconnected);
     SUBCASE("after one loss, as soon as another shard has answered") { fleet.respond(1, 200, std::string(16, 'a')); }
     SUBCASE("after two losses, as soon as one server has answered")
     {
-        fleet.finish_attempt(1, attempt_end::disconnected);
+        fleet.finish_attempt(1, attempt_status::disconnected);
         REQUIRE(fleet.sent.size() == 5);
         fleet.respond(4, 200, std::string(16, 'a'));
     }
@@ -69,14 +69,14 @@
     }
     CHECK(fleet.response_to(key).status == 200);
     CHECK(fleet.response_to(key).header("missing") == "0");
-    CHECK(fleet.quarantine.standing(fleet.finished.back().digest, fleet.now) == request_standing::clear);
+    CHECK(fleet.quarantine.status(fleet.finished.back().digest, fleet.now) == quarantine_status::clear);
 }
 
 TEST_CASE("caution: a slow shard is hedged again once another one has answered")
 {
     dispatcher_fixture fleet;
     fleet.start("/gather/x", "id1");
-    fleet.finish_attempt(0, attempt_end::disconnected);
+    fleet.finish_attempt(0, attempt_status::disconnected);
     fleet.advance(150ms);
     CHECK(fleet.sent.size() == 4);
     fleet.respond(1, 200, std::string(16, 'a'));
@@ -112,18 +112,18 @@
     options.by_coverage = false; // The shards that could not be reached would have queries refused.
     dispatcher_fixture fleet(options);
     auto const first = fleet.start("/gather/x", "id1");
-    fleet.finish_attempt(0, attempt_end::disconnected);
-    fleet.finish_attempt(1, attempt_end::disconnected);
-    fleet.finish_attempt(4, attempt_end::not_sent);
+    fleet.finish_attempt(0, attempt_status::disconnected);
+    fleet.finish_attempt(1, attempt_status::disconnected);
+    fleet.finish_attempt(4, attempt_status::not_sent);
     for (int i = 0; i < 30 && !fleet.has_response(first); ++i) {
         for (std::size_t each = 5; each < fleet.sent.size(); ++each)
-            fleet.finish_attempt(each, attempt_end::not_sent);
+            fleet.finish_attempt(each, attempt_status::not_sent);
         fleet.advance(20ms);
     }
     CHECK(fleet.response_to(first).status == 502);
     auto const before = fleet.sent.size();
 
-    REQUIRE(fleet.quarantine.told(fleet.now).size() == 1);
+    REQUIRE(fleet.quarantine.own_records(fleet.now).size() == 1);
     auto const trial = fleet.start("/gather/x", "id2");
     REQUIRE(fleet.sent.size() == before + 1);
     auto const meanwhile = fleet.start("/gather/x", "id3");
@@ -140,27 +140,27 @@
     }
     SUBCASE("one more crash puts it into quarantine")
     {
-        fleet.finish_attempt(before, attempt_end::disconnected);
+        fleet.finish_attempt(before, attempt_status::disconnected);
         CHECK(fleet.response_to(trial).status == 502);
         CHECK(fleet.response_to(fleet.start("/gather/x", "id4")).status == 503);
         CHECK(fleet.sent.size() == before + 1);
     }
     SUBCASE("a server that refuses says nothing of it")
     {
-        fleet.finish_attempt(before, attempt_end::not_executed);
+        fleet.finish_attempt(before, attempt_status::not_executed);
         fleet.advance(20ms);
         CHECK(under_way(fleet, before + 1) == 1);
     }
     SUBCASE("a caller that leaves during the trial does not get it tried again and again")
     {
         // Two crashes are known; a third is needed.
-        fleet.finish_attempt(before, attempt_end::disconnected);
+        fleet.finish_attempt(before, attempt_status::disconnected);
         auto const digest = fleet.finished.back().digest;
         fleet.advance(60s);
-        CHECK(fleet.quarantine.standing(digest, fleet.now) == request_standing::suspect);
+        CHECK(fleet.quarantine.status(digest, fleet.now) == quarantine_status::suspect);
         auto const second = fleet.start("/gather/x", "id5");
         fleet.requests->on_caller_disconnected(second, fleet.now);
-        CHECK(fleet.quarantine.standing(digest, fleet.now) == request_standing::quarantined);
+        CHECK(fleet.quarantine.status(digest, fleet.now) == quarantine_status::quarantined);
     }
 }
 
@@ -171,7 +171,7 @@
     message.path = "/plain/x";
     message.headers = {{"host", "h.example"}};
     auto const digest = digest_of(message);
-    fleet.quarantine.learn("gw", {{digest, 3, 1, milliseconds(30000)}}, fleet.now);
+    fleet.quarantine.apply_peer_records("gw", {{digest, 3, 1, milliseconds(30000)}}, fleet.now);
     CHECK(fleet.response_to(fleet.start("/plain/x", "id1")).status == 503);
     CHECK(fleet.sent.empty());
     CHECK(fleet.finished.back().reason == std::string("quarantined"));
@@ -199,11 +199,11 @@
         http_request message;
         message.path = "/gather/common";
         message.headers = {{"host", "h.example"}};
-        fleet.quarantine.learn("gw", {{digest_of(message), 3, 1, milliseconds(30000)}}, fleet.now);
+        fleet.quarantine.apply_peer_records("gw", {{digest_of(message), 3, 1, milliseconds(30000)}}, fleet.now);
         fleet.start("/gather/common", "id3");
         // The others learn that it was answered.
-        REQUIRE(fleet.quarantine.told(fleet.now).size() == 1);
-        CHECK(fleet.quarantine.told(fleet.now)[0].answered);
+        REQUIRE(fleet.quarantine.own_records(fleet.now).size() == 1);
+        CHECK(fleet.quarantine.own_records(fleet.now)[0].answered);
     }
     auto const before = fleet.sent.size();
     auto const next = fleet.start("/gather/common", "id4");
--- a/tests/test_dispatcher.cpp
+++ b/tests/test_dispatcher.cpp
@@ -52,7 +52,7 @@
     CHECK(bytes.find("request-id: id1\r\n") != std::string::npos);
     CHECK(bytes.find("x-own: v\r\n") != std::string::npos);
     CHECK(bytes.find("x-hop") == std::string::npos);
-    CHECK(bytes.find("target: " + fleet.sent[0].target->entry.id.value() + "\r\n") != std::string::npos);
+    CHECK(bytes.find("target: " + fleet.sent[0].target->registration.id.value() + "\r\n") != std::string::npos);
     CHECK(bytes.find("forged") == std::string::npos);
     CHECK(bytes.find("deadline") == std::string::npos); // Written when the request leaves, from caller_deadline.
     CHECK(fleet.sent[0].caller_deadline == fleet.now + 800ms);
@@ -62,15 +62,16 @@
 {
     struct row {
         char const* path;
-        attempt_end end;
+        attempt_status end;
         bool sent_again;
         int status; ///< Final status when every further attempt ends the same way.
     };
     for (auto const& each :
-         {row{"/plain/", attempt_end::lost, true, 502}, row{"/plain/", attempt_end::not_sent, true, 503},
-          row{"/plain/", attempt_end::not_executed, true, 503}, row{"/plain/", attempt_end::wrong_server, true, 503},
-          row{"/write/", attempt_end::lost, false, 502}, row{"/write/", attempt_end::not_sent, true, 503},
-          row{"/write/", attempt_end::not_executed, true, 503}, row{"/write/", attempt_end::wrong_server, true, 503}}) {
+         {row{"/plain/", attempt_status::lost, true, 502}, row{"/plain/", attempt_status::not_sent, true, 503},
+          row{"/plain/", attempt_status::not_executed, true, 503},
+          row{"/plain/", attempt_status::wrong_server, true, 503}, row{"/write/", attempt_status::lost, false, 502},
+          row{"/write/", attempt_status::not_sent, true, 503}, row{"/write/", attempt_status::not_executed, true, 503},
+          row{"/write/", attempt_status::wrong_server, true, 503}}) {
         CAPTURE(each.path);
         CAPTURE(to_string(each.end));
         dispatcher_fixture fleet;
@@ -138,7 +139,7 @@
     SUBCASE("a shard that fails for good does not hold up the others")
     {
         for (std::size_t i = 3; i < fleet.sent.size() && i < 20; ++i) {
-            fleet.finish_attempt(i, attempt_end::not_sent);
+            fleet.finish_attempt(i, attempt_status::not_sent);
             fleet.advance(16ms);
         }
         CHECK(fleet.response_to(key).header("missing") == "1");
@@ -150,7 +151,7 @@
     dispatcher_fixture fleet;
     auto const key = fleet.start("/gather/", "id1");
     for (std::size_t i = 0; i < fleet.sent.size() && i < 40 && !fleet.has_response(key); ++i)
-        fleet.finish_attempt(i, attempt_end::lost);
+        fleet.finish_attempt(i, attempt_status::lost);
     CHECK(fleet.response_to(key).status == 502);
     CHECK(fleet.now < fleet.start_time + 100ms);
 }
@@ -189,7 +190,7 @@
     dispatcher_fixture fleet;
     for (char const* replica : {"a", "b"})
         fleet.add_backend("far", replica, "elsewhere");
-    fleet.configs.offer(fleet.config_of(2, {"g0", "far"}));
+    fleet.configs.set_if_newer(fleet.config_of(2, {"g0", "far"}));
     for (int i = 0; i < 60; ++i) {
         auto const at = fleet.sent.size();
         fleet.start("/gather/", "id" + std::to_string(i));
@@ -202,7 +203,7 @@
     fleet.start("/gather/", "slow");
     fleet.advance(10ms);
     REQUIRE(fleet.sent.size() == at + 3);
-    CHECK(fleet.sent[at + 2].target->entry.service == service_name("g0"));
+    CHECK(fleet.sent[at + 2].target->registration.service == service_name("g0"));
 }
 
 TEST_CASE("dispatcher: at the deadline the caller gets a final answer")
@@ -232,7 +233,7 @@
     for (int i = 0; i < 100; ++i) {
         auto const at = fleet.sent.size();
         fleet.start("/split/", "id" + std::to_string(i));
-        ++counts[fleet.sent[at].target->entry.service.value()];
+        ++counts[fleet.sent[at].target->registration.service.value()];
         fleet.respond(at, 200, "x");
     }
     CHECK(counts["s"] == 75);
@@ -244,7 +245,7 @@
     dispatcher_fixture fleet;
     auto const key = fleet.start("/gather/", "id1");
     auto changed = fleet.config_of(2, {"t"});
-    fleet.configs.offer(changed);
+    fleet.configs.set_if_newer(changed);
     for (std::size_t i = 0; i < 4; ++i)
         fleet.respond(i, 200, std::string(16, 'a'));
     CHECK(fleet.response_to(key).header("missing") == "0");
--- a/tests/test_heavy_window.cpp
+++ b/tests/test_heavy_window.cpp
@@ -88,16 +88,16 @@
 {
     using std::chrono::milliseconds;
     auto const begin = time_point{} + std::chrono::seconds(100);
-    shard_outlook outlook;
-    CHECK(outlook.answered_share(begin) == 1.0);
+    shard_availability outlook;
+    CHECK(outlook.response_rate(begin) == 1.0);
     outlook.on_outcome(false, begin);
-    CHECK(outlook.answered_share(begin) == doctest::Approx(0.5));
-    CHECK(outlook.answered_share(begin + milliseconds(10000)) > 0.99);
+    CHECK(outlook.response_rate(begin) == doctest::Approx(0.5));
+    CHECK(outlook.response_rate(begin + milliseconds(10000)) > 0.99);
     for (int i = 1; i <= 5; ++i)
         outlook.on_outcome(false, begin + milliseconds(i));
-    CHECK(outlook.answered_share(begin + milliseconds(5)) > 0.35);
+    CHECK(outlook.response_rate(begin + milliseconds(5)) > 0.35);
     outlook.on_outcome(false, begin + milliseconds(900));
-    CHECK(outlook.answered_share(begin + milliseconds(900)) < 0.35);
+    CHECK(outlook.response_rate(begin + milliseconds(900)) < 0.35);
     outlook.on_outcome(true, begin + milliseconds(1800));
-    CHECK(outlook.answered_share(begin + milliseconds(1800)) > 0.6);
+    CHECK(outlook.response_rate(begin + milliseconds(1800)) > 0.6);
 }
--- a/tests/test_places.cpp
+++ b/tests/test_places.cpp
@@ -16,7 +16,7 @@
             registry.remove(backend_id(std::string(service) + "b"), now);
             add_backend(service, "c", "e");
         }
-        places.shares().set_sharers({"self"}, "self", now - 10s);
+        placement.quotas().set_participants({"self"}, "self", now - 10s);
     }
     /** Puts a configuration in force whose routes have @p homes and whose cold servers bear @p per_second. */
     void configure(region_set const& homes, double per_second = 0)
@@ -24,11 +24,11 @@
         auto const base = config_of(++version, {"g0", "g1", "g2", "g3"});
         auto routes = base->routes();
         for (auto& each : routes)
-            each.homes = homes;
-        std::map<service_name, service_spec_limits> services;
+            each.home_regions = homes;
+        std::map<service_name, service_limits> services;
         for (char const* service : {"s", "t", "g0", "g1", "g2", "g3"})
             services[service_name(service)] = {60, {3000ms, per_second}};
-        configs.offer(
+        configs.set_if_newer(
             std::make_shared<serving_config const>(config_version(version), routes, services, caller_limits{}));
     }
     /** @return ids of the servers that attempts went to. */
@@ -36,7 +36,7 @@
     {
         std::set<std::string> found;
         for (auto const& each : sent)
-            found.insert(each.target->entry.id.value());
+            found.insert(each.target->registration.id.value());
         return found;
     }
     int version = 0; ///< Last configuration.
@@ -57,9 +57,9 @@
         keys.insert("g/" + std::to_string(i));
     int all = 0;
     for (auto const& key : keys) {
-        warmup_shares shares;
-        shares.set_sharers(keys, key, time_point(0s));
-        all += shares.share(server, bound, time_point(10s));
+        warmup_quotas shares;
+        shares.set_participants(keys, key, time_point(0s));
+        all += shares.quota(server, bound, time_point(10s));
     }
     return all;
 }
@@ -71,8 +71,8 @@
     configure({region_name("q")});
     auto const key = start("/gather/x", "id");
     CHECK(reached() == std::set<std::string>{"g0c", "g1c", "g2c", "g3c"});
-    finish_attempt(0, attempt_end::lost);
-    finish_attempt(1, attempt_end::not_executed);
+    finish_attempt(0, attempt_status::lost);
+    finish_attempt(1, attempt_status::not_executed);
     advance(300ms); // Hedges and retries are due.
     CHECK(reached() == std::set<std::string>{"g0c", "g1c", "g2c", "g3c"});
     respond(2, 200, "");
@@ -110,28 +110,28 @@
 TEST_CASE_FIXTURE(places_fixture, "places: an evacuated failure domain gets nothing new until it is taken back")
 {
     configure({});
-    places.evacuated().begin(domain_name("d"));
+    placement.evacuated().start(domain_name("d"));
     start("/gather/x", "id");
     CHECK(reached() == std::set<std::string>{"g0c", "g1c", "g2c", "g3c"});
     SUBCASE("what was under way there may end")
     {
-        CHECK(places.evacuated().end(domain_name("d"), now));
+        CHECK(placement.evacuated().stop(domain_name("d"), now));
         sent.clear();
         auto const key = start("/plain/x", "id2");
         REQUIRE(reached() == std::set<std::string>{"sa"});
-        places.evacuated().begin(domain_name("d"));
+        placement.evacuated().start(domain_name("d"));
         respond(0, 200, "body");
         CHECK(response_to(key).status == 200);
     }
     SUBCASE("a second evacuation in series leaves nothing, and callers are told at once")
     {
-        places.evacuated().begin(domain_name("e"));
+        placement.evacuated().start(domain_name("e"));
         auto const key = start("/plain/x", "id2");
         CHECK(response_to(key).status == 503);
         CHECK(finished.back().evacuated == 1);
-        CHECK(places.evacuated().end(domain_name("e"), now));
+        CHECK(placement.evacuated().stop(domain_name("e"), now));
         start("/plain/y", "id3");
-        CHECK(sent.back().target->entry.id == backend_id("sc"));
+        CHECK(sent.back().target->registration.id == backend_id("sc"));
     }
 }
 
@@ -145,7 +145,7 @@
         auto const before = sent.size();
         start("/plain/x", "id" + std::to_string(i));
         REQUIRE(sent.size() == before + 1);
-        if (sent.back().target->entry.id == backend_id("sa")) cold.push_back(now);
+        if (sent.back().target->registration.id == backend_id("sa")) cold.push_back(now);
         respond(before, 200, "body");
         advance(10ms);
     }
@@ -160,9 +160,9 @@
 TEST_CASE_FIXTURE(places_fixture, "places: the servers of a domain whose evacuation has just ended count as cold")
 {
     configure({region_name("r")}, 4);
-    places.evacuated().begin(domain_name("d"));
+    placement.evacuated().start(domain_name("d"));
     advance(2000ms);
-    places.evacuated().end(domain_name("d"), now);
+    placement.evacuated().stop(domain_name("d"), now);
     for (int i = 0; i < 20; ++i)
         start("/plain/x", "id" + std::to_string(i));
     CHECK(sent.size() == 7);
@@ -208,21 +208,21 @@
             }
             int sum = 0;
             for (auto const& key : all) {
-                warmup_shares shares;
-                shares.set_sharers(left.contains(key) ? left : all, key, time_point(0s));
-                sum += shares.share(id, 305, time_point(10s));
+                warmup_quotas shares;
+                shares.set_participants(left.contains(key) ? left : all, key, time_point(0s));
+                sum += shares.quota(id, 305, time_point(10s));
             }
             CHECK(sum <= 305);
         }
     }
     SUBCASE("a VM that is not named to callers, or has just joined, sends nothing")
     {
-        warmup_shares shares;
-        shares.set_sharers({"a", "b"}, "c", time_point(0s));
-        CHECK(shares.share("s", 100, time_point(10s)) == 0);
-        shares.set_sharers({"a", "b", "c"}, "c", time_point(10s));
-        CHECK(shares.share("s", 100, time_point(10s)) == 0);
-        CHECK(shares.share("s", 100, time_point(12s)) > 20);
+        warmup_quotas shares;
+        shares.set_participants({"a", "b"}, "c", time_point(0s));
+        CHECK(shares.quota("s", 100, time_point(10s)) == 0);
+        shares.set_participants({"a", "b", "c"}, "c", time_point(10s));
+        CHECK(shares.quota("s", 100, time_point(10s)) == 0);
+        CHECK(shares.quota("s", 100, time_point(12s)) > 20);
     }
 }
 
@@ -260,13 +260,13 @@
         route made;
         made.host = "h";
         made.prefix = prefix;
-        made.homes = std::move(homes);
+        made.home_regions = std::move(homes);
         return made;
     };
     region_name const a("a");
     region_name const b("b");
     auto const homes_with = [&](std::vector<route> routes) {
-        return serving_config(config_version(1), std::move(routes), {}, {}).homes_of_host("h");
+        return serving_config(config_version(1), std::move(routes), {}, {}).home_regions_of_host("h");
     };
     CHECK(homes_with({route_of("/x/", {})}).empty());
     CHECK(homes_with({route_of("/x/", {a, b}), route_of("/y/", {b}), route_of("/z/", {})}) == region_set{b});
--- a/tests/test_preconnect.cpp
+++ b/tests/test_preconnect.cpp
@@ -13,12 +13,12 @@
     std::vector<std::string> planned(std::set<std::string> const& connected = {})
     {
         auto const is_connected = [&](std::shared_ptr<backend_server> const& server) {
-            return connected.contains(server->entry.id.value());
+            return connected.contains(server->registration.id.value());
         };
         std::vector<std::string> ids;
         for (auto const& server :
-             backends_to_preconnect(*configs.current(), registry, places, is_connected, random, now))
-            ids.push_back(server->entry.id.value());
+             backends_to_preconnect(*configs.current(), registry, placement, is_connected, random, now))
+            ids.push_back(server->registration.id.value());
         return ids;
     }
     /** @return whether @p id is planned. */
@@ -47,11 +47,11 @@
         std::erase_if(routes, [](route const& each) { return !each.gather; });
         routes.resize(1);
         routes.push_back(routes.front());
-        routes[0].homes = first;
-        routes[1].homes = second;
+        routes[0].home_regions = first;
+        routes[1].home_regions = second;
         routes[1].prefix = "/other/";
-        configs.offer(std::make_shared<serving_config const>(
-            config_version(version), routes, std::map<service_name, service_spec_limits>{}, caller_limits{}));
+        configs.set_if_newer(std::make_shared<serving_config const>(
+            config_version(version), routes, std::map<service_name, service_limits>{}, caller_limits{}));
     };
     with_homes(2, {region_name("q")}, {region_name("q")});
     CHECK(planned() == std::vector<std::string>{"g0c"});
@@ -69,7 +69,7 @@
     }
     SUBCASE("as its failure domain is evacuated")
     {
-        places.evacuated().begin(domain_name("d"));
+        placement.evacuated().start(domain_name("d"));
         CHECK(planned() == std::vector<std::string>{"g0c"});
     }
     SUBCASE("as it failed just now, until it is tried again")
--- a/tests/test_quarantine.cpp
+++ b/tests/test_quarantine.cpp
@@ -46,29 +46,29 @@
     request_quarantine quarantine;
     CHECK(quarantine.empty());
     quarantine.on_crashes(deadly, 1, begin);
-    CHECK(quarantine.standing(deadly, begin) == request_standing::suspect);
-    CHECK(quarantine.standing(other, begin) == request_standing::clear);
-    CHECK_FALSE(quarantine.convicts(deadly, 1));
-    CHECK(quarantine.convicts(deadly, 2));
-    quarantine.on_answered(deadly, begin);
-    CHECK(quarantine.standing(deadly, begin) == request_standing::clear);
+    CHECK(quarantine.status(deadly, begin) == quarantine_status::suspect);
+    CHECK(quarantine.status(other, begin) == quarantine_status::clear);
+    CHECK_FALSE(quarantine.reaches_crash_threshold(deadly, 1));
+    CHECK(quarantine.reaches_crash_threshold(deadly, 2));
+    quarantine.on_response(deadly, begin);
+    CHECK(quarantine.status(deadly, begin) == quarantine_status::clear);
 }
 
 TEST_CASE("quarantine: it ends, the request is tried again, and the next one is twice as long")
 {
     request_quarantine quarantine;
-    auto const first = quarantine_options{}.first;
+    auto const first = quarantine_options{}.first_duration;
     quarantine.on_crashes(deadly, 3, begin);
-    quarantine.convict(deadly, begin);
-    CHECK(quarantine.standing(deadly, begin + first - milliseconds(1)) == request_standing::quarantined);
-    CHECK(quarantine.standing(deadly, begin + first) == request_standing::suspect);
+    quarantine.start_quarantine(deadly, begin);
+    CHECK(quarantine.status(deadly, begin + first - milliseconds(1)) == quarantine_status::quarantined);
+    CHECK(quarantine.status(deadly, begin + first) == quarantine_status::suspect);
     quarantine.on_crashes(deadly, 1, begin + first);
-    quarantine.convict(deadly, begin + first);
+    quarantine.start_quarantine(deadly, begin + first);
     CHECK(quarantine.quarantine_left(deadly, begin + first) == 2 * first);
     for (int i = 0; i < 20; ++i)
-        quarantine.convict(deadly, begin + first);
-    CHECK(quarantine.quarantine_left(deadly, begin + first) == quarantine_options{}.longest);
-    CHECK(quarantine.standing(deadly, begin + std::chrono::hours(1)) == request_standing::clear);
+        quarantine.start_quarantine(deadly, begin + first);
+    CHECK(quarantine.quarantine_left(deadly, begin + first) == quarantine_options{}.max_duration);
+    CHECK(quarantine.status(deadly, begin + std::chrono::hours(1)) == quarantine_status::clear);
 }
 
 TEST_CASE("quarantine: what gateways see of a request adds up, and a quarantine holds at all of them")
@@ -77,44 +77,44 @@
     request_quarantine there;
     here.on_crashes(deadly, 1, begin);
     there.on_crashes(deadly, 1, begin);
-    here.learn("there", there.told(begin), begin);
-    CHECK(here.convicts(deadly, 1));
+    here.apply_peer_records("there", there.own_records(begin), begin);
+    CHECK(here.reaches_crash_threshold(deadly, 1));
     here.on_crashes(deadly, 1, begin);
-    here.convict(deadly, begin);
-    there.learn("here", decode_crash_records(encode_crash_records(here.told(begin))), begin);
-    CHECK(there.standing(deadly, begin) == request_standing::quarantined);
-    CHECK(there.quarantine_left(deadly, begin) == quarantine_options{}.first);
+    here.start_quarantine(deadly, begin);
+    there.apply_peer_records("here", decode_crash_records(encode_crash_records(here.own_records(begin))), begin);
+    CHECK(there.status(deadly, begin) == quarantine_status::quarantined);
+    CHECK(there.quarantine_left(deadly, begin) == quarantine_options{}.first_duration);
     // Each tells what it saw itself, so that nothing is counted twice.
-    CHECK(there.told(begin).size() == 1);
-    CHECK(there.told(begin)[0].crashes == 1);
-    CHECK(there.told(begin)[0].convictions == 0);
+    CHECK(there.own_records(begin).size() == 1);
+    CHECK(there.own_records(begin)[0].crashes == 1);
+    CHECK(there.own_records(begin)[0].quarantines == 0);
     // A gateway whose record has gone takes back what it saw, but no quarantine.
-    there.learn("here", {}, begin);
-    CHECK(there.standing(deadly, begin) == request_standing::quarantined);
-    CHECK_FALSE(there.convicts(deadly, 1));
+    there.apply_peer_records("here", {}, begin);
+    CHECK(there.status(deadly, begin) == quarantine_status::quarantined);
+    CHECK_FALSE(there.reaches_crash_threshold(deadly, 1));
 }
 
 TEST_CASE("quarantine: a gateway that starts again takes up what it told before")
 {
     request_quarantine before;
     before.on_crashes(deadly, 3, begin);
-    before.convict(deadly, begin);
+    before.start_quarantine(deadly, begin);
     request_quarantine after;
-    after.resume(before.told(begin), begin);
-    CHECK(after.standing(deadly, begin) == request_standing::quarantined);
-    CHECK(after.told(begin) == before.told(begin));
+    after.restore_own_records(before.own_records(begin), begin);
+    CHECK(after.status(deadly, begin) == quarantine_status::quarantined);
+    CHECK(after.own_records(begin) == before.own_records(begin));
 }
 
 TEST_CASE("quarantine: memory is bounded, and a request on trial is not forgotten")
 {
     quarantine_options options;
-    options.kept = 8;
+    options.max_requests = 8;
     request_quarantine quarantine(options);
     quarantine.on_crashes(deadly, 1, begin);
-    quarantine.begin_trial(deadly);
+    quarantine.start_trial(deadly);
     for (int i = 0; i < 100; ++i)
         quarantine.on_crashes(request_digest("d" + std::to_string(i)), 1, begin + milliseconds(i + 1));
-    CHECK(quarantine.told(begin).size() <= options.kept);
+    CHECK(quarantine.own_records(begin).size() <= options.max_requests);
     CHECK(quarantine.on_trial(deadly));
 }
 
@@ -129,19 +129,19 @@
     request_quarantine here;
     request_quarantine there;
     here.on_crashes(deadly, 3, begin);
-    here.convict(deadly, begin);
-    there.learn("here", here.told(begin), begin);
-    there.on_answered(deadly, begin);
+    here.start_quarantine(deadly, begin);
+    there.apply_peer_records("here", here.own_records(begin), begin);
+    there.on_response(deadly, begin);
     int told = 0;
-    here.on_change([&told](request_quarantine::change const& change) { told += change.to_tell ? 1 : 0; });
-    here.learn("there", decode_crash_records(encode_crash_records(there.told(begin))), begin);
-    CHECK(here.standing(deadly, begin) == request_standing::clear);
-    CHECK(here.told(begin).empty());
+    here.on_change([&told](request_quarantine::change const& change) { told += change.own_record_changed ? 1 : 0; });
+    here.apply_peer_records("there", decode_crash_records(encode_crash_records(there.own_records(begin))), begin);
+    CHECK(here.status(deadly, begin) == quarantine_status::clear);
+    CHECK(here.own_records(begin).empty());
     CHECK(told == 1);
     // New crashes count again.
     here.on_crashes(deadly, 3, begin);
-    here.convict(deadly, begin);
-    there.learn("here", here.told(begin), begin);
-    CHECK(there.standing(deadly, begin) == request_standing::quarantined);
-    CHECK(there.told(begin).empty());
+    here.start_quarantine(deadly, begin);
+    there.apply_peer_records("here", here.own_records(begin), begin);
+    CHECK(there.status(deadly, begin) == quarantine_status::quarantined);
+    CHECK(there.own_records(begin).empty());
 }
--- a/tests/test_routing.cpp
+++ b/tests/test_routing.cpp
@@ -52,13 +52,13 @@
     config_holder holder;
     auto const make = [](int version) {
         return std::make_shared<serving_config const>(config_version(version), std::vector<route>{},
-                                                      std::map<service_name, service_spec_limits>{}, caller_limits{});
+                                                      std::map<service_name, service_limits>{}, caller_limits{});
     };
-    CHECK(holder.offer(make(5)));
-    CHECK_FALSE(holder.offer(make(4)));
-    CHECK_FALSE(holder.offer(make(5)));
+    CHECK(holder.set_if_newer(make(5)));
+    CHECK_FALSE(holder.set_if_newer(make(4)));
+    CHECK_FALSE(holder.set_if_newer(make(5)));
     CHECK(holder.current()->version() == config_version(5));
-    CHECK(holder.offer(make(9)));
+    CHECK(holder.set_if_newer(make(9)));
 }
 
 TEST_CASE("routing: entries that lapsed in a store outage get time to return")
@@ -74,14 +74,14 @@
     }
     SUBCASE("after an outage it counts when the grace is over")
     {
-        registry.on_store_back(start + 5s);
+        registry.on_store_recovered(start + 5s);
         registry.remove(backend_id("b1"), start + 5s);
         registry.remove(backend_id("b2"), start + 5s);
         CHECK(registry.group(service_name("s")).backends.size() == 2);
         registry.apply({backend_id("b2"), service_name("s"), {"127.0.0.1", 2}, domain_name("d"), 1, false, 0ms},
                        start + 6s);
-        CHECK(registry.expire(start + 7199ms).empty());
-        CHECK(registry.expire(start + 7200ms) == std::vector<backend_id>{backend_id("b1")});
+        CHECK(registry.remove_lapsed(start + 7199ms).empty());
+        CHECK(registry.remove_lapsed(start + 7200ms) == std::vector<backend_id>{backend_id("b1")});
         CHECK(registry.group(service_name("s")).backends.size() == 1);
     }
 }
@@ -94,12 +94,12 @@
     for (int i = 0; i < 200; ++i)
         budget.on_request(now);
     int taken = 0;
-    while (budget.take(bound, 7, now))
+    while (budget.try_consume(bound, 7, now))
         ++taken;
     CHECK(taken <= static_cast<int>(0.2 * 200 + 54.0 / 7));
     CHECK(taken >= 30);
-    CHECK_FALSE(budget.take(bound, 7, now + 9s));
-    CHECK(budget.left(bound, 7, now + 11s) > 5.0);
+    CHECK_FALSE(budget.try_consume(bound, 7, now + 9s));
+    CHECK(budget.remaining(bound, 7, now + 11s) > 5.0);
 }
 
 TEST_CASE("routing: records are merged greatest first, byte by byte, remainders left out")
@@ -128,7 +128,7 @@
                                 {}, {});
     std::vector<bool> urgent;
     for (auto const& via : config.routes())
-        urgent.push_back(via.most_urgent);
+        urgent.push_back(via.highest_priority);
     CHECK(urgent == std::vector<bool>{true, false, true, true});
 }
 
@@ -139,6 +139,6 @@
     CHECK(weight.after(milliseconds(0)) == doctest::Approx(0.1));
     CHECK(weight.after(milliseconds(300)) == doctest::Approx(1 - std::exp(-0.3)));
     CHECK(weight.after(milliseconds(5000)) == doctest::Approx(0.5));
-    CHECK(decayed(milliseconds(0), milliseconds(200)) == doctest::Approx(1.0));
-    CHECK(decayed(milliseconds(400), milliseconds(200)) == doctest::Approx(0.25));
+    CHECK(decay_factor(milliseconds(0), milliseconds(200)) == doctest::Approx(1.0));
+    CHECK(decay_factor(milliseconds(400), milliseconds(200)) == doctest::Approx(0.25));
 }
