--- a/src/places/place_rules.cpp
+++ b/src/places/placement_rules.cpp
@@ -1,4 +1,4 @@
-/** @file place_rules.cpp Which backend servers a request may reach. */
+/** @file placement_rules.cpp Which backend servers a request may reach. */
 #include <cornelspring/places.hpp>
 
 namespace cornelspring {
