--- a/include/cornelspring/quarantine.hpp
+++ b/include/cornelspring/quarantine.hpp
@@ -1,5 +1,5 @@
 /**
- * @file quarantine.hpp What is known of requests under which backend servers ended, without sockets or clock reads.
+ * @file quarantine.hpp Quarantine of requests that crash backend servers, without sockets or clock reads.
  */
 #pragma once
 
@@ -13,146 +13,153 @@
 
 /** Address of a caller, without its port. */
 using caller_address = strong_id<struct caller_address_tag, std::string>;
-/** Tells requests apart by what they ask: equal for a request and its repetitions. 32 hexadecimal digits. */
+/** Digest of the content of a request: equal for a request and its repetitions. 32 hexadecimal digits. */
 using request_digest = strong_id<struct request_digest_tag, std::string>;
 
 /**
- * @return the digest of what backend servers are asked: method, host, path, body, and who asks by the request's own
- * word (the header "authorization"). The caller's address is left out, since no backend server sees it and the same
- * caller may come from another one; so are headers that differ with each repetition.
+ * @return the digest of method, host, path, body and the header "authorization", which identifies the caller. It leaves
+ * out the caller's address, since no backend server sees it and the same caller may use another one, and headers that
+ * differ between repetitions.
  * @param request request.
  */
 request_digest digest_of(http_request const& request);
 
 /**
- * Remembers which requests backend servers have answered lately. It protects a query that many callers ask: when
- * another one crashes the servers, it is among those that run there again and again, and would count as the cause.
+ * Remembers which requests backend servers responded to recently. This protects a query that many callers send: when
+ * another request crashes backend servers, the frequent query is often in flight there too and would be taken for the
+ * cause.
  */
 class recent_responses {
 public:
-    /** Notes an answer. @param request the request. @param now present time. */
+    /** Records a response to @p request. @param request the request. @param now current time. */
     void add(http_request const& request, time_point now);
-    /** @return whether a request was answered lately. @param request the request. @param now present time. */
+    /** @return whether there was a response to @p request recently. @param request the request. @param now current
+     * time. */
     bool contains(http_request const& request, time_point now) const;
 
 private:
-    /** A request that was answered. */
+    /** A request that got a response. */
     struct answered_request {
-        std::size_t key = 0; ///< Hash of what was asked.
-        time_point at;       ///< When it was answered last.
+        std::size_t key = 0; ///< Hash of the request's content.
+        time_point at;       ///< Time of the last response.
     };
-    /** Requests kept; one that falls on the place of another takes it. */
+    /** Slots of the table; a request overwrites another one with the same slot. */
     static constexpr std::size_t places = 2048;
     std::array<answered_request, places> m_answered; ///< By key.
 };
 
-/** What is believed of a request. */
+/** State of a request in the quarantine. */
 enum class quarantine_status {
-    clear,       ///< Nothing speaks against it.
-    suspect,     ///< Backend servers ended under it and none answered it: it goes to one at a time.
-    quarantined, ///< It crashes backend servers: it goes to none.
+    clear,       ///< No crashes are known.
+    suspect,     ///< Backend servers crashed while running it and none responded: it is sent to one at a time.
+    quarantined, ///< It crashes backend servers: it is rejected.
 };
 
-/** What one gateway has seen of one request, as gateways tell each other. */
+/** What one gateway observed of one request, as exchanged between gateways through the store. */
 struct crash_record {
     request_digest digest;           ///< The request.
-    int crashes = 0;                 ///< Backend servers that ended under it.
-    int quarantines = 0;             ///< Times that it was put into quarantine.
-    milliseconds quarantine_left{0}; ///< Time that it stays there.
-    bool answered = false;           ///< A backend server answered it, and none has crashed under it since.
+    int crashes = 0;                 ///< Backend servers that crashed while running it.
+    int quarantines = 0;             ///< Number of its quarantines.
+    milliseconds quarantine_left{0}; ///< Remaining time of its quarantine.
+    bool answered = false;           ///< A backend server responded, and none has crashed on it since.
     bool operator==(crash_record const&) const = default;
 };
 
 /** Settings of the quarantine. */
 struct quarantine_options {
-    /** Crashes from which a request counts as their cause: fewer come together by chance when servers fail. */
+    /** Crashes from which a request counts as their cause: fewer coincide by chance when backend servers fail. */
     int crash_threshold = 3;
     milliseconds first_duration{60000}; ///< Length of the first quarantine; each further one is twice as long.
-    milliseconds max_duration{600000};  ///< Longest quarantine. As long is remembered what was seen of a request.
-    std::size_t max_requests = 256;     ///< Requests remembered; the oldest are forgotten first.
+    milliseconds max_duration{600000};  ///< Longest quarantine; also how long observations of a request are kept.
+    std::size_t max_requests = 256;     ///< Most requests remembered; the oldest are evicted first.
 };
 
 /**
- * Remembers under which requests backend servers ended without answering, on this VM and on others. It answers requests
- * that crash every server that runs them: the server is back after seconds and so is the request, at any gateway, so
- * that neither one attempt nor one VM sees enough. A suspect is not refused, since a request may have been at several
- * servers that failed for another reason: it goes to one server at a time, and an answer clears it. Only a request
- * whose servers go on to end is refused, for a time, since servers get repaired.
+ * Records which requests were in flight at backend servers that crashed without a response, on this VM and on others,
+ * and rejects those that crash every server that runs them. Such a server restarts within seconds and the caller
+ * repeats the request at any gateway, so neither one attempt nor one VM observes enough of the crashes. A suspect is
+ * not rejected, since its backend servers may have failed for another reason: it is sent to one server at a time, and a
+ * response clears it. Only a request whose backend servers keep crashing is rejected, and only for a time, since
+ * servers get repaired.
  */
 class request_quarantine {
 public:
-    /** A change of what is believed, for logs. */
+    /** A change of a request's status, for logs. */
     struct change {
         request_digest digest;                               ///< The request.
-        quarantine_status status = quarantine_status::clear; ///< What is believed of it now.
-        int crashes = 0;                                     ///< Crashes seen by all gateways.
-        std::string source;                                  ///< Gateway that told; empty: seen here.
-        bool own_record_changed = false;                     ///< What this VM tells has changed.
+        quarantine_status status = quarantine_status::clear; ///< Its status now.
+        int crashes = 0;                                     ///< Crashes observed by all gateways.
+        std::string source;                                  ///< Gateway that sent the record; empty: observed here.
+        bool own_record_changed = false;                     ///< This VM's own records changed and must be published.
     };
     /** @param options settings. */
     explicit request_quarantine(quarantine_options options = {}) : m_options(options) {}
     /** Sets the hook for changes. @param hook called after each. */
     void on_change(std::function<void(change const&)> hook) { m_on_change = std::move(hook); }
 
-    /** @return whether nothing is known of any request, so that no digest is needed. */
+    /** @return whether no request is recorded, so that no digest is needed. */
     bool empty() const { return m_requests.empty(); }
-    /** @return what is believed of a request. @param digest request. @param now present time. */
+    /** @return the status of a request. @param digest request. @param now current time. */
     quarantine_status status(request_digest const& digest, time_point now) const;
-    /** @return how long a request stays in quarantine; 0 when it is in none. @param digest request. @param now time. */
+    /** @return the remaining time of a request's quarantine; 0 when it is in none. @param digest request. @param now
+     *  current time. */
     milliseconds quarantine_left(request_digest const& digest, time_point now) const;
-    /** @return whether so many crashes, with those known, convict a request. @param digest request. @param crashes more
-     *  crashes than are known here. */
+    /** @return whether a request reaches the crash threshold with @p crashes more. @param digest request. @param
+     * crashes crashes that are not recorded here yet. */
     bool reaches_crash_threshold(request_digest const& digest, int crashes) const;
 
     /** @return whether this VM has sent a suspect to a backend server and waits for the outcome. @param digest request.
      */
     bool on_trial(request_digest const& digest) const;
-    /** A suspect goes to a backend server. @param digest request. */
+    /** Records that a suspect was sent to a backend server. @param digest request. */
     void start_trial(request_digest const& digest);
-    /** The outcome is there, or none will be. @param digest request. */
+    /** Records that the trial finished, with an outcome or without. @param digest request. */
     void finish_trial(request_digest const& digest);
-    /** Backend servers ended under a request that none has answered. @param digest request. @param crashes how many.
-     *  @param now present time. */
+    /** Records crashes of backend servers that ran a request without a response. @param digest request. @param crashes
+     *  number of them. @param now current time. */
     void on_crashes(request_digest const& digest, int crashes, time_point now);
-    /** Puts a request into quarantine. @param digest request. @param now present time. */
+    /** Puts a request into quarantine. @param digest request. @param now current time. */
     void start_quarantine(request_digest const& digest, time_point now);
-    /** A backend server answered a request that is suspect or in quarantine, here or elsewhere: it does not crash them.
-     *  @param digest request. @param now present time. */
+    /** Clears a request that is suspect or in quarantine, because a backend server responded to it. @param digest
+     * request.
+     *  @param now current time. */
     void on_response(request_digest const& digest, time_point now);
 
-    /** @return what this VM tells the others. @param now present time. */
+    /** @return the records that this VM publishes to the others. @param now current time. */
     std::vector<crash_record> own_records(time_point now) const;
-    /** Takes in what another gateway tells; it replaces what that one told before, but a quarantine lasts.
-     *  @param source which gateway. @param records what it has seen. @param now present time. */
+    /** Applies the records of another gateway. They replace its earlier ones, but a quarantine stays until its time is
+     * over.
+     *  @param source that gateway. @param records its records. @param now current time. */
     void apply_peer_records(std::string const& source, std::vector<crash_record> const& records, time_point now);
-    /** Takes up what this VM told before it started again. @param records as told. @param now present time. */
+    /** Restores the records that this VM published before it restarted. @param records those records. @param now
+     * current time. */
     void restore_own_records(std::vector<crash_record> const& records, time_point now);
 
 private:
-    /** What is known of one request. */
+    /** What is recorded of one request. */
     struct known_request {
-        int own_crashes = 0;             ///< Seen here.
-        std::map<std::string, int> told; ///< Told by other gateways.
-        int convictions = 0;             ///< Most that any gateway tells.
-        bool convicted_here = false;     ///< The last one was pronounced here.
+        int own_crashes = 0;             ///< Crashes observed here.
+        std::map<std::string, int> told; ///< Crashes observed by each other gateway.
+        int convictions = 0;             ///< Highest number of quarantines of any gateway.
+        bool convicted_here = false;     ///< This VM started the last quarantine.
         time_point quarantined_until;    ///< End of the quarantine.
-        time_point forget_at;            ///< Nothing was seen for so long.
-        bool on_trial = false;           ///< This VM has sent it to a backend server.
-        bool answered = false;           ///< Seen here: a backend server answered it after crashes.
-        /** Forgets all that speaks against it. @return whether something seen here did. */
+        time_point forget_at;            ///< The record is dropped after that time.
+        bool on_trial = false;           ///< This VM sent it to a backend server and waits.
+        bool answered = false;           ///< A backend server responded here after crashes.
+        /** Clears all crashes and quarantines. @return whether some of the crashes were observed here. */
         bool clear();
-        /** @return crashes seen by all. */
+        /** @return crashes observed by all gateways. */
         int crashes() const;
-        /** @return what is believed of it. */
+        /** @return its status. @param now current time. */
         quarantine_status standing(time_point now) const;
     };
-    /** @return the record of a request, made when absent, remembered from now on. */
+    /** @return the record of a request, created when absent, with its expiry set from @p now. */
     known_request& remember(request_digest const& digest, time_point now);
-    /** Forgets what is old, and the oldest beyond those kept. */
+    /** Drops expired records, and the oldest one when the limit is reached. */
     void forget(time_point now);
-    /** Takes in the quarantine that a record tells of. */
+    /** Applies the quarantine of a record. */
     void extend_quarantine(known_request& request, crash_record const& record, time_point now) const;
-    /** Reports what is believed of a request. */
+    /** Calls the hook with the status of a request. */
     void report(request_digest const& digest, std::string const& source, bool to_tell, time_point now);
 
     quarantine_options m_options;                              ///< Settings.
@@ -160,7 +167,7 @@
     std::function<void(change const&)> m_on_change;            ///< Hook.
 };
 
-/** @return the name of @p standing for logs. @param standing the standing. */
+/** @return the name of @p standing for logs. @param standing the status. */
 char const* to_string(quarantine_status standing);
 /** @return records as the value of a store key. @param records records. */
 std::string encode_crash_records(std::vector<crash_record> const& records);
--- a/src/places/evacuations.cpp
+++ b/src/places/evacuations.cpp
@@ -1,4 +1,4 @@
-/** @file evacuations.cpp Failure domains whose backend servers get nothing. */
+/** @file evacuations.cpp Evacuated failure domains, and the locality of this VM. */
 #include <cornelspring/places.hpp>
 
 namespace cornelspring {
--- a/src/places/placement_rules.cpp
+++ b/src/places/placement_rules.cpp
@@ -1,4 +1,4 @@
-/** @file placement_rules.cpp Which backend servers a request may reach. */
+/** @file placement_rules.cpp To which backend servers a request may be sent. */
 #include <cornelspring/places.hpp>
 
 namespace cornelspring {
@@ -14,7 +14,8 @@
     return "unknown";
 }
 
-/** Entries say seconds late that a failure domain has become cold, so the end of an evacuation counts as a start. */
+/** A stopped evacuation counts as a start of the domain's backend servers, because their registrations report seconds
+ *  late that they are cold. */
 bool placement_rules::is_cold(server_placement const& server, warmup_spec const& warmup, time_point now) const
 {
     if (now < server.cold_until) return true;
--- a/src/places/warmup.cpp
+++ b/src/places/warmup.cpp
@@ -1,4 +1,4 @@
-/** @file warmup.cpp How much a cold backend server gets from this VM. */
+/** @file warmup.cpp This VM's quota of requests to a cold backend server. */
 #include <cornelspring/places.hpp>
 
 #include <algorithm>
@@ -7,14 +7,15 @@
 namespace cornelspring {
 namespace {
 
-/** Share of the bound that all VMs together use; the rest is for VMs that are cut off and divide by an old number. */
+/** Share of the limit that all VMs together use; the rest covers VMs that are cut off and divide by an outdated number
+ *  of VMs. */
 constexpr double used_share = 0.7;
-/** A VM that has just joined sends nothing to cold servers until the others divide by it too. */
+/** A VM that has just joined sends nothing to cold backend servers until the others count it in their division. */
 constexpr milliseconds join_pause{1500};
-/** The bound counts requests by seconds. */
+/** The limit is in requests per second. */
 constexpr milliseconds pace_window{1000};
 
-/** @return the rank by which the rest of a division is dealt: the same on all VMs. */
+/** @return the hash by which the remainder of the division is assigned; all VMs compute the same. */
 std::size_t rank_of(std::string const& server, std::string const& sharer)
 {
     return std::hash<std::string>()(server + "\n" + sharer);
--- a/src/quarantine/crash_records.cpp
+++ b/src/quarantine/crash_records.cpp
@@ -1,4 +1,4 @@
-/** @file crash_records.cpp What gateways tell each other of requests under which backend servers ended. */
+/** @file crash_records.cpp Encoding of the crash records that gateways exchange through the store. */
 #include <cornelspring/quarantine.hpp>
 
 #include <nlohmann/json.hpp>
--- a/src/quarantine/request_digest.cpp
+++ b/src/quarantine/request_digest.cpp
@@ -1,4 +1,4 @@
-/** @file request_digest.cpp What makes two requests the same. */
+/** @file request_digest.cpp Digests of requests, and which got a response recently. */
 #include <cornelspring/quarantine.hpp>
 
 #include <openssl/evp.h>
@@ -8,19 +8,19 @@
 namespace cornelspring {
 namespace {
 
-/** Bytes of a digest that are kept: enough that no two requests share one by chance. */
+/** Bytes of a digest: enough that two requests do not share one by chance. */
 constexpr std::size_t digest_bytes = 16;
 
-/** An answer speaks for a request so long: servers may have changed since. */
+/** How long a response counts as recent: backend servers may have changed since. */
 constexpr milliseconds lately{30000};
 
-/** Appends @p part with its length, so that no two lists of parts make up the same text. */
+/** Appends @p part with its length, so that different lists of parts give different texts. */
 void append_part(std::string& text, std::string_view part)
 {
     text.append(std::to_string(part.size())).append(":").append(part);
 }
 
-/** @return what backend servers are asked, as one text. */
+/** @return the content of the request that its digest covers, as one text. */
 std::string question_of(http_request const& request)
 {
     std::string text;
--- a/src/quarantine/request_quarantine.cpp
+++ b/src/quarantine/request_quarantine.cpp
@@ -1,4 +1,4 @@
-/** @file request_quarantine.cpp Requests under which backend servers ended. */
+/** @file request_quarantine.cpp Quarantine of requests that crash backend servers. */
 #include <cornelspring/quarantine.hpp>
 
 #include <algorithm>
@@ -179,7 +179,7 @@
         return !request.on_trial && now >= std::max(request.forget_at, request.quarantined_until);
     });
     if (m_requests.size() < m_options.max_requests) return;
-    // One on trial goes last: its outcome is about to come in.
+    // A request on trial is evicted last: its outcome arrives soon.
     auto const age_order = [](auto const& left, auto const& right) {
         return std::pair(left.second.on_trial, left.second.forget_at) <
                std::pair(right.second.on_trial, right.second.forget_at);
