--- a/include/cornelspring/routing.hpp
+++ b/include/cornelspring/routing.hpp
@@ -1,6 +1,6 @@
 /**
- * @file routing.hpp What requests are routed by, without sockets or clock reads: routes, placement, backend servers and
- * what was observed of them, replica choice, retry budget.
+ * @file routing.hpp Routing, without sockets or clock reads: routes, the registry of backend servers with their observed
+ * load, replica choice, retry budget.
  */
 #pragma once
 
@@ -22,9 +22,9 @@
 
 /** Name of a service. */
 using service_name = strong_id<struct service_name_tag, std::string>;
-/** Id of a backend server; one that starts again may keep it. */
+/** Id of a backend server; it may keep its id over a restart. */
 using backend_id = strong_id<struct backend_id_tag, std::string>;
-/** Start of a backend server, in Unix milliseconds: tells its incarnations apart; 0 when it does not say. */
+/** Start time of a backend server in Unix milliseconds. It distinguishes its incarnations; 0 when not registered. */
 using start_time = strong_id<struct start_time_tag, std::int64_t>;
 /** Key of a request within this process. */
 using request_key = strong_id<struct request_key_tag, std::uint64_t>;
@@ -33,60 +33,60 @@
 
 // ---- Moving averages ----
 
-/** How much a new sample counts in a moving average over time: the more, the longer ago the last one was. */
+/** Weight of a new sample in a moving average over time; it grows with the time since the previous sample. */
 struct sample_weight {
-    milliseconds time_constant{1000}; ///< Time over which samples are averaged.
-    double min_weight = 0.1;          ///< Weight of a sample right after another.
-    double max_weight = 0.5;          ///< Weight of one after a long pause.
+    milliseconds time_constant{1000}; ///< Time constant of the average.
+    double min_weight = 0.1;          ///< Weight of a sample that follows another at once.
+    double max_weight = 0.5;          ///< Weight of a sample after a long pause.
     /** @return the weight. @param gap time since the sample before. */
     double after(clock::duration gap) const;
 };
 
-/** @return what is left of 1 after @p age when half of it goes in each @p half_life. @param age time that has gone.
- *  @param half_life time. */
+/** @return the exponential decay factor after @p age, from 1 down to 0. @param age elapsed time. @param half_life time
+ * in which the factor halves. */
 double decay_factor(clock::duration age, milliseconds half_life);
 
 // ---- Configuration ----
 
-/** What may be repeated. */
+/** Whether requests may be retried after they may have run. */
 enum class route_kind {
-    idempotent,    ///< May run more than once.
-    non_idempotent ///< Runs at most once for each request.
+    idempotent,    ///< A request may run more than once.
+    non_idempotent ///< A request runs at most once.
 };
 
-/** One of the services among which a route distributes its requests. */
+/** One of the services over which a route splits its requests. */
 struct split_target {
     service_name service; ///< Service.
-    double weight = 1;    ///< Its share, relative to the other parts.
+    double weight = 1;    ///< Relative share of the requests.
 };
 
-/** How the answers of many shards make up one answer. */
+/** How the responses of many shards are merged into one. */
 struct gather_spec {
     std::vector<service_name> shards; ///< One service for each shard.
-    std::size_t top_k = 10;           ///< Records of the merged answer.
-    double min_coverage = 1;          ///< Least share of the shards in a success.
+    std::size_t top_k = 10;           ///< Records in the merged response.
+    double min_coverage = 1;          ///< Lowest share of the shards in a successful response.
 };
 
-/** One route: which requests, where to, and within which time. */
+/** One route: which requests it matches, where they are sent, and their deadline and latency goal. */
 struct route {
     std::string name;                         ///< Operators' name.
     std::string host;                         ///< Host it serves.
     std::string prefix;                       ///< Path prefix; begins and ends with a slash.
-    route_kind kind = route_kind::idempotent; ///< What may be repeated.
-    milliseconds timeout{1000};               ///< Longest time a caller may be kept waiting.
-    milliseconds goal{1000};                  ///< Time within which an answer is worth its full value.
-    int priority = 0;                         ///< Rank; 0 is the highest.
-    bool highest_priority = true;             ///< No other route over the same shards ranks higher; by serving_config.
-    int attempts = 1;                         ///< Most backend servers one request (of one shard) may run on.
-    region_set home_regions;                  ///< Regions that may serve it; empty: all.
-    std::vector<split_target> split;          ///< Services that share the requests; one for a plain route.
-    std::optional<gather_spec> gather;        ///< Set for a route over shards; split is then empty.
+    route_kind kind = route_kind::idempotent; ///< Whether requests may be retried after they may have run.
+    milliseconds timeout{1000};               ///< Longest deadline of a caller.
+    milliseconds goal{1000};                  ///< Latency goal: time within which a response has its full value.
+    int priority = 0;                         ///< Priority; 0 is the highest.
+    bool highest_priority = true;      ///< No route over the same shards has a higher priority; set by serving_config.
+    int attempts = 1;                  ///< Most attempts of one request, per shard.
+    region_set home_regions;           ///< Regions that may serve it; empty: all.
+    std::vector<split_target> split;   ///< Services that share the requests; one entry for a route to one service.
+    std::optional<gather_spec> gather; ///< Set for a route over shards; split is then empty.
 };
 
-/** What the configuration says of one service. */
+/** Configuration of one service. */
 struct service_limits {
-    int max_connections = 16; ///< Connections a backend server of it accepts from all VMs together.
-    warmup_spec warmup;       ///< Its backend servers while they are cold.
+    int max_connections = 16; ///< Connections that one backend server accepts from all VMs together.
+    warmup_spec warmup;       ///< Warm-up of its backend servers.
 };
 
 /** Limits on what callers may send. */
@@ -94,7 +94,7 @@
     std::size_t max_header_bytes = 16384; ///< Start line and headers.
     std::size_t max_body_bytes = 262144;  ///< Body.
     milliseconds header_timeout{3000};    ///< Longest time to send one request.
-    milliseconds idle_timeout{15000};     ///< Longest idle time of a kept connection.
+    milliseconds idle_timeout{15000};     ///< Longest idle time of a keep-alive connection.
 };
 
 /** One version of the operators' configuration. Immutable once in force. */
@@ -109,14 +109,14 @@
     std::vector<route> const& routes() const { return m_routes; }
     /** @return the limits for callers. */
     caller_limits const& limits() const { return m_limits; }
-    /** @return the connection limit of @p service; a default when it is not named. @param service service. */
+    /** @return the connection limit of @p service; a default when it is not configured. @param service service. */
     int max_connections(service_name const& service) const;
-    /** @return what @p service says of its cold backend servers. @param service service. */
+    /** @return the warm-up of the backend servers of @p service. @param service service. */
     warmup_spec const& warmup(service_name const& service) const;
-    /** @return the regions that may serve all routes of @p host, else those that may serve some; empty: all regions.
-     *  @param host host. */
+    /** @return the regions that may serve every route of @p host that has home regions; when there is none, those that
+     * may serve at least one; empty: all regions. @param host host. */
     region_set home_regions_of_host(std::string const& host) const;
-    /** @return the lowest connection limit among the services over which routes gather; 0 when none does. */
+    /** @return the lowest connection limit among the shards of all gathers; 0 when no route gathers. */
     int min_gather_connections() const { return m_min_gather_connections; }
     /**
      * @return the route of @p host with the longest prefix that begins @p path, or null.
@@ -133,7 +133,7 @@
     std::unordered_map<std::string, std::size_t> m_by_location; ///< Route index by host and prefix.
 };
 
-/** The configuration in force; it never goes back to an older version. */
+/** The configuration in force; an older version never replaces a newer one. */
 class config_holder {
 public:
     /** Puts @p next into force when it is newer. @return whether it was. @param next candidate. */
@@ -147,100 +147,102 @@
 
 // ---- Backend servers ----
 
-/** What a backend server has registered about itself. */
+/** Registration of a backend server: what it writes about itself into the store. */
 struct backend_registration {
-    backend_id id;               ///< Incarnation.
+    backend_id id;               ///< Id of the backend server.
     service_name service;        ///< Service it belongs to.
     endpoint address;            ///< Where it listens.
     domain_name domain;          ///< Failure domain.
-    int slots = 1;               ///< Requests it works on at once.
-    bool draining = false;       ///< It leaves soon and takes no new work.
-    milliseconds warmup_left{0}; ///< How much longer it is slow after its start.
-    start_time started_at{};     ///< Its start.
-    std::int64_t sequence = 0;   ///< Grows with each entry of one incarnation.
+    int slots = 1;               ///< Requests that it runs concurrently.
+    bool draining = false;       ///< It stops soon and accepts no new attempts.
+    milliseconds warmup_left{0}; ///< Remaining time of its warm-up.
+    start_time started_at{};     ///< Its start time.
+    std::int64_t sequence = 0;   ///< Grows with each registration that one incarnation writes.
 };
 
-/** How one attempt at a backend server ended. */
+/** Outcome of one attempt at a backend server. */
 enum class attempt_status {
-    answered,     ///< A whole response of that backend server to that request.
-    not_executed, ///< The backend server said that it did not run the request.
-    wrong_server, ///< Another incarnation holds the address; it did not run the request.
+    answered,     ///< A complete response of that backend server to that request.
+    not_executed, ///< The backend server reported that it did not run the request.
+    wrong_server, ///< Another incarnation has the address; it did not run the request.
     not_sent,     ///< No byte of the request was accepted by the peer.
     lost,         ///< Sent, but no usable response: it may have run.
-    /** Sent, and the peer closed the connection without a byte of a response: it may have run, and the backend server
-     *  may have crashed under it. A reset is not meant: so ends what a backend server has not read, over its limit of
-     *  connections or on a kept connection that it forgot. */
+    /** Sent, and the backend server closed the connection without a byte of a response: the request may have run and
+     *  crashed it. A reset does not count as this: it occurs for requests that the backend server did not read, above
+     *  its connection limit or on a keep-alive connection that it has already dropped. */
     disconnected,
 };
-/** @return whether a request may have run in an attempt that ended so. @param end the end. */
+/** @return whether the request may have run in an attempt with this outcome. @param end outcome. */
 inline bool may_have_run(attempt_status end)
 {
     return end == attempt_status::lost || end == attempt_status::disconnected;
 }
-/** @return the name of @p end for logs. @param end the end. */
+/** @return the name of @p end for logs. @param end outcome. */
 char const* to_string(attempt_status end);
 
-/** What this VM has observed of one backend server. */
+/** Load, latency and failures of one backend server as observed by this VM. */
 class backend_load {
 public:
-    /** Notes an attempt begun. */
+    /** Records a started attempt. */
     void on_sent() { ++m_in_flight; }
-    /** Notes an attempt cancelled before it ended: its latency is at least the time it ran.
-     *  @param ran time it ran. @param now present time. */
+    /** Records an attempt that was cancelled in flight: its latency is at least the time it ran.
+     *  @param ran time it ran. @param now current time. */
     void on_cancelled(std::chrono::microseconds ran, time_point now);
-    /** Notes how an attempt ended. @param end how. @param took time it ran. @param now present time. */
+    /** Records a finished attempt. @param end outcome. @param took time it ran. @param now current time. */
     void on_finished(attempt_status end, std::chrono::microseconds took, time_point now);
-    /** Notes that an attempt runs longer than usual. @param now present time. */
+    /** Records that an attempt takes longer than usual. @param now current time. */
     void on_stalled(time_point now);
-    /** @return attempts that have not ended. */
+    /** @return attempts in flight. */
     int in_flight() const { return m_in_flight; }
-    /** @return whether new work should go elsewhere when it can. @param now present time. */
+    /** @return whether new attempts avoid this backend server when another one has room. @param now current time. */
     bool suspect(time_point now) const { return now < m_suspect_until; }
-    /** @return end of the suspicion. */
+    /** @return the time until which it is suspect. */
     time_point suspect_until() const { return m_suspect_until; }
-    /** @return the expected latency in milliseconds. @param usual latency assumed without samples. @param now present.
-     */
+    /** @return the expected latency in milliseconds. @param usual latency assumed without samples. @param now current
+     *  time. */
     double latency_ms(double usual, time_point now) const;
-    /** @return recent share of attempts that were shed or failed, 0 to 1. */
+    /** @return the recent share of attempts that were shed or failed, 0 to 1. */
     double failure_rate() const { return m_failure_rate; }
 
 private:
-    int m_in_flight = 0;        ///< Attempts not ended.
+    int m_in_flight = 0;        ///< Attempts in flight.
     int m_strikes = 0;          ///< Failures and stalls in a row.
     double m_latency_ms = 0;    ///< Moving average; 0 before the first sample.
     double m_failure_rate = 0;  ///< Moving average of failures.
     time_point m_sampled_at;    ///< Time of the last sample.
-    time_point m_suspect_until; ///< Avoided until then.
+    time_point m_suspect_until; ///< It is suspect until then.
 };
 
-/** A backend server as this VM knows it. */
+/** A backend server in this VM's registry. */
 struct backend_server {
-    backend_registration registration;           ///< What it registered last.
-    proximity distance = proximity::same_domain; ///< How far it is.
-    server_placement placement;                  ///< What decides which requests may reach it.
-    backend_load load;                           ///< What was observed of it.
-    std::optional<time_point> draining_since;    ///< When this VM learned that it leaves.
-    bool removed = false;                        ///< Its entry was removed: no new work.
-    std::optional<time_point> lapsed_until;      ///< Its entry was removed by a store outage; gone at that time.
+    backend_registration registration;           ///< Its last registration.
+    proximity distance = proximity::same_domain; ///< Its distance from this VM.
+    server_placement placement;                  ///< Input of the placement rules.
+    backend_load load;                           ///< Observed load, latency and failures.
+    std::optional<time_point> draining_since;    ///< When this VM received that it drains.
+    bool removed = false;                        ///< Its registration was removed: no new attempts.
+    std::optional<time_point> lapsed_until; ///< Its registration lapsed in a store outage; it is removed at that time.
 };
 
-/** Allowance of extra arrivals at one service within a sliding window; this VM's part of a bound over all VMs. */
+/** Limit on the extra attempts at one service within a sliding window; this VM's part of a limit over all VMs. */
 class retry_budget {
 public:
     /** Limits of all services' budgets. */
     struct limits {
-        double ratio = 0.2;              ///< Extra arrivals for each request.
-        double slack = 50;               ///< Extra arrivals beyond that, over all VMs.
+        double ratio = 0.2;              ///< Extra attempts per request.
+        double slack = 50;               ///< Further extra attempts, over all VMs.
         std::chrono::seconds window{10}; ///< Length of the window.
     };
-    /** Counts a request for the service. @param now present time. */
+    /** Counts a request for the service. @param now current time. */
     void on_request(time_point now);
     /**
-     * Takes one extra arrival, if the window has room for it.
-     * @param bound limits. @param vms VMs that share the slack. @param now present time. @return whether it was taken.
+     * Consumes one extra attempt if the window has one left.
+     * @param bound limits. @param vms VMs that share the slack. @param now current time. @return whether it was
+     * consumed.
      */
     bool try_consume(limits const& bound, std::size_t vms, time_point now);
-    /** @return extra arrivals left in this window. @param bound limits. @param vms sharing VMs. @param now present. */
+    /** @return extra attempts left in this window. @param bound limits. @param vms VMs that share the slack. @param now
+     *  current time. */
     double remaining(limits const& bound, std::size_t vms, time_point now);
 
 private:
@@ -248,20 +250,20 @@
     struct second_count {
         std::int64_t second = -1; ///< Seconds of the steady clock.
         int requests = 0;         ///< Requests in it.
-        int extras = 0;           ///< Extra arrivals in it.
+        int extras = 0;           ///< Extra attempts in it.
     };
-    /** @return the counts of the second of @p now. */
+    /** @return the counts of the second that contains @p now. @param now current time. */
     second_count& at(time_point now);
-    std::array<second_count, 16> m_seconds; ///< Ring of seconds; longer than any window in use.
+    std::array<second_count, 16> m_seconds; ///< Ring buffer of seconds; longer than any window in use.
 };
 
-/** How often one shard answered the queries of this VM lately, however late: it fails when its backend servers are full
- *  or gone. */
+/** Recent share of this VM's queries to which one shard responded, however late. It drops when the shard's backend
+ * servers are full or removed. */
 class shard_availability {
 public:
-    /** Notes how it went for one query. @param answered whether the shard answered. @param now present time. */
+    /** Records the outcome of one query. @param answered whether the shard responded. @param now current time. */
     void on_outcome(bool answered, time_point now);
-    /** @return share of recent queries that it answered, 0 to 1; 1 when nothing is known. @param now present time. */
+    /** @return the share of recent queries with a response, 0 to 1; 1 without outcomes. @param now current time. */
     double response_rate(time_point now) const;
 
 private:
@@ -269,122 +271,126 @@
     time_point m_sampled_at; ///< Time of the last outcome.
 };
 
-/** The backend servers of one service and what all requests for it share. */
+/** The backend servers of one service and the state that all requests for it share. */
 struct service_group {
     service_name name;                                     ///< Service.
     std::vector<std::shared_ptr<backend_server>> backends; ///< Known backend servers.
-    retry_budget budget;                                   ///< Extra arrivals allowed.
-    shard_availability availability;                       ///< How often it answers, as a shard.
-    double average_latency_ms = 20;                        ///< Moving average over its backend servers.
+    retry_budget budget;                                   ///< Limit on extra attempts.
+    shard_availability availability;                       ///< Share of queries with a response, when it is a shard.
+    double average_latency_ms = 20;                        ///< Moving average of the latency over its backend servers.
     /** A shard of a request that waits for a backend server with room. */
     struct waiter {
         std::uint64_t request = 0; ///< Request key.
         std::size_t shard = 0;     ///< Shard of the request.
     };
-    std::multimap<int, waiter> wait_queue; ///< By route priority, first come first served within one.
+    std::multimap<int, waiter> wait_queue; ///< By route priority; first in, first out within a priority.
 };
 
 /** All backend servers known to this VM, by service. */
 class backend_registry {
 public:
-    /** @param place where this VM is. @param lapse_grace how long entries that lapsed in an outage may take to return.
-     */
+    /** @param place locality of this VM. @param lapse_grace time within which registrations that lapsed in a store
+     * outage may return. */
     backend_registry(locality place, milliseconds lapse_grace) : m_place(std::move(place)), m_lapse_grace(lapse_grace)
     {
     }
     /**
-     * Takes in an entry. One of an earlier start or of an earlier moment than the entry known is left out: a write that
-     * the store carries out late, or a copy that comes late, must not bring back what has ended. A later start is a new
-     * backend server of which nothing is known.
-     * @param entry entry. @param now present time. @return whether routing changes.
+     * Applies a registration. One of an earlier start, or with a lower sequence than the last one applied, is ignored:
+     * a write that the store applies late, or an outdated copy, must not bring back a backend server that was removed.
+     * A later start makes a new backend server without observations.
+     * @param entry registration. @param now current time. @return whether routing changes.
      */
     bool apply(backend_registration const& entry, time_point now);
-    /** Takes in the removal of an entry. @param id whose. @param now present time. @return whether it was known. */
+    /** Applies the removal of a registration. @param id backend server. @param now current time. @return whether it was
+     *  known. */
     bool remove(backend_id const& id, time_point now);
-    /** Notes that the store answers again after an outage; removals seen now may be entries that lapsed. */
+    /** Records that the store responds again after an outage: removals received in the time after it may be lapsed
+     *  registrations. @param now current time. */
     void on_store_recovered(time_point now) { m_lapses_until = now + m_lapse_grace; }
-    /** Drops the lapsed entries that did not return in time. @param now present time. @return those dropped. */
+    /** Removes the lapsed registrations that did not return in time. @param now current time. @return those removed. */
     std::vector<backend_id> remove_lapsed(time_point now);
-    /** @return backend servers that say that they are cold. @param now present time. */
+    /** @return the number of backend servers in their warm-up by their own report. @param now current time. */
     std::size_t cold_count(time_point now) const;
-    /** @return ids of all entries that are not gone. */
+    /** @return the ids of all backend servers that are not removed. */
     std::vector<backend_id> ids() const;
-    /** @return the group of @p service, made when absent; the reference stays valid. @param service service. */
+    /** @return the group of @p service, created when absent; the reference stays valid. @param service service. */
     service_group& group(service_name const& service);
     /** @return the backend server @p id, or null. @param id id. */
     std::shared_ptr<backend_server> find(backend_id const& id) const;
 
 private:
-    /** @return whether @p entry is older than what is known of its backend server. */
+    /** @return whether @p entry is older than the last registration of its backend server. @param entry registration.
+     */
     bool outdated(backend_registration const& entry) const;
-    /** Ends a backend server: it gets no new work. */
+    /** Removes a backend server from its group: it gets no new attempts. @param server backend server. */
     void retire(std::shared_ptr<backend_server> const& server);
 
-    locality m_place;                                                            ///< Where this VM is.
-    milliseconds m_lapse_grace;                                                  ///< Time lapsed entries get.
-    time_point m_lapses_until;                                                   ///< Removals until then may be lapses.
+    locality m_place;           ///< Locality of this VM.
+    milliseconds m_lapse_grace; ///< Time within which lapsed registrations may return.
+    time_point m_lapses_until;  ///< Removals until then may be lapses.
     std::unordered_map<std::string, std::unique_ptr<service_group>> m_groups;    ///< By service name.
     std::unordered_map<std::string, std::shared_ptr<backend_server>> m_backends; ///< By id.
-    /** The last that was known of a backend server that was removed. */
+    /** Last registration of a removed backend server. */
     struct ended_server {
-        start_time started;        ///< Its start.
-        std::int64_t sequence = 0; ///< Count of its last entry.
+        start_time started;        ///< Its start time.
+        std::int64_t sequence = 0; ///< Sequence of its last registration.
     };
-    std::unordered_map<std::string, ended_server> m_ended; ///< Removed ones, by id.
+    std::unordered_map<std::string, ended_server> m_ended; ///< Removed backend servers, by id.
     std::deque<std::string> m_ended_order;                 ///< Their ids, oldest removal first.
 };
 
 /** Settings of replica choice. */
 struct selection_options {
-    double other_region_penalty_ms = 25;     ///< Added to the expected wait at another region: bytes there are dear.
-    double other_domain_penalty_ms = 2;      ///< Added at another failure domain of the region.
-    double cold_factor = 1.6;                ///< Slowdown of a backend server that has just started.
+    double other_region_penalty_ms =
+        25; ///< Added to the expected wait in another region: traffic between regions is costly.
+    double other_domain_penalty_ms = 2;      ///< Added to the expected wait in another failure domain of the region.
+    double cold_factor = 1.6;                ///< Slowdown of a cold backend server.
     double failure_weight = 5;               ///< Weight of the recent failure rate.
-    bool by_expected_wait = true;            ///< By expected wait; else by distance alone.
-    bool avoid_suspect = true;               ///< Those that failed or stalled are avoided for a while.
-    milliseconds draining_last_resort{1000}; ///< A draining one may still be used so long when none else is left.
+    bool by_expected_wait = true;            ///< Choose by expected wait; else by distance only.
+    bool avoid_suspect = true;               ///< Avoid backend servers that failed or stalled recently.
+    milliseconds draining_last_resort{1000}; ///< How long a draining one may be used when no other is left.
 };
 
 /** Why no attempt was sent. */
 enum class selection_failure {
     none,                 ///< One was sent.
-    no_backend,           ///< No backend server may get it.
-    outside_home_regions, ///< Those that are left are in no home of the request.
-    evacuated,            ///< Those that are left are evacuated.
-    cold,                 ///< Those that are left are cold, and have got what this VM may send.
-    no_room,              ///< All have as many attempts as this VM may send.
-    no_budget,            ///< The allowance of extra arrivals is used up.
-    no_gain,              ///< A hedge would not bring the answer sooner.
+    no_backend,           ///< No backend server is usable.
+    outside_home_regions, ///< The usable ones are outside the request's home regions.
+    evacuated,            ///< The usable ones are in evacuated failure domains.
+    cold,                 ///< The usable ones are cold, and this VM's quota for them is used up.
+    no_room,              ///< All have as many attempts in flight as this VM may have.
+    no_budget,            ///< The retry budget is used up.
+    no_gain,              ///< A hedge would not give an earlier response.
 };
-/** @return the name of @p miss for logs. @param miss the miss. */
+/** @return the name of @p miss for logs. @param miss the reason. */
 char const* to_string(selection_failure miss);
 
-/** Result of a choice. */
+/** Result of replica choice. */
 struct selection {
-    std::shared_ptr<backend_server> target;              ///< The choice, or null.
-    selection_failure failure = selection_failure::none; ///< Why null.
-    bool suspect = false;                                ///< The choice is under suspicion; no better one had room.
-    double wait_ms = 0;                                  ///< Expected wait there, in milliseconds.
+    std::shared_ptr<backend_server> target;              ///< The chosen backend server, or null.
+    selection_failure failure = selection_failure::none; ///< Why the target is null.
+    bool suspect = false; ///< The chosen one is suspect or draining; no better one had room.
+    double wait_ms = 0;   ///< Expected wait there, in milliseconds.
 };
 
-/** What a choice goes by besides what was observed of the backend servers. */
+/** Input of replica choice besides the observed load of the backend servers. */
 struct selection_context {
     selection_options const& options;    ///< Weights.
-    placement_rules const& placement;    ///< Which backend servers may be reached at all,
-    placement_requirements requirements; ///< by this request.
+    placement_rules const& placement;    ///< Which backend servers the request may be sent to.
+    placement_requirements requirements; ///< What the rules need of the request.
 };
 
 /**
- * Chooses the backend server with the lowest expected wait among those that the request may reach.
- * @param group service. @param tried ids to leave out. @param room most attempts in flight at one backend server.
- * @param scope weights and places. @param random tie breaks. @param now present time.
+ * Chooses the backend server with the lowest expected wait among those that the request may be sent to.
+ * @param group service. @param tried ids to exclude. @param room most attempts in flight at one backend server.
+ * @param scope weights and placement rules. @param random tie breaks. @param now current time.
  * @return the choice.
  */
 selection choose_backend(service_group const& group, std::vector<backend_id> const& tried, int room,
                          selection_context const& scope, std::mt19937_64& random, time_point now);
 
-/** @return none when some backend server of @p group may get work, else why not. @param group service. @param scope
- *  weights and places. @param now present time. */
+/** @return none when some backend server of @p group may get an attempt, else why not. @param group service.
+ *  @param scope weights and placement rules. @param now current time. */
 selection_failure unavailability_reason(service_group const& group, selection_context const& scope, time_point now);
 
 } // namespace cornelspring
--- a/src/routing/backend_registry.cpp
+++ b/src/routing/backend_registry.cpp
@@ -1,4 +1,4 @@
-/** @file backend_registry.cpp Backend servers known to this VM, and what was observed of them. */
+/** @file backend_registry.cpp Registry of backend servers, and their load as observed by this VM. */
 #include <cornelspring/routing.hpp>
 
 #include <algorithm>
@@ -11,20 +11,22 @@
 constexpr double latency_weight = 0.2;
 /** Weight of a new outcome in the failure rate. */
 constexpr double failure_rate_weight = 0.15;
-/** Without samples, a latency drifts half of the way back to the usual one in this time, so that it is tried again. */
+/** Without samples, a latency returns half of the way to the usual one in this time, so that the backend server is
+ * tried again. */
 constexpr milliseconds forget_half_life{1000};
-/** First suspicion after a failure or stall; doubles with each in a row. A pause of a backend server lasts longer. */
+/** How long a backend server is suspect after a failure or stall; doubles with each in a row. Pauses of backend servers
+ *  last longer than this. */
 constexpr milliseconds suspect_first{120};
-/** Longest suspicion: a server that came back is tried again within this time. */
+/** Longest time a backend server is suspect: one that recovered is tried again within it. */
 constexpr milliseconds suspect_longest{2500};
-/** Suspicion after a shed request: a slot frees within milliseconds. */
+/** How long it is suspect after it shed a request: a slot frees within milliseconds. */
 constexpr milliseconds suspect_shed{30};
-/** Removed backend servers whose last start is remembered: those of a reshard of the largest index. */
+/** Removed backend servers whose last registration is remembered: as many as a reshard of the largest index removes. */
 constexpr std::size_t ended_kept = 4096;
-/** Most doublings of the first suspicion. */
+/** Most doublings of suspect_first. */
 constexpr int max_doublings = 5;
 
-/** @return the suspicion after @p strikes in a row. */
+/** @return how long a backend server is suspect. @param strikes failures and stalls in a row. */
 milliseconds suspicion(int strikes)
 {
     auto const doubled = suspect_first * (1 << std::min(strikes - 1, max_doublings));
@@ -78,7 +80,7 @@
 
 void backend_load::on_stalled(time_point now)
 {
-    if (suspect(now)) return; // One pause stalls every attempt in flight; it counts once.
+    if (suspect(now)) return; // A pause of the backend server stalls all attempts in flight; it counts once.
     ++m_strikes;
     m_suspect_until = now + suspicion(m_strikes);
 }
@@ -97,7 +99,7 @@
         auto const ended = m_ended.find(entry.id.value());
         if (ended == m_ended.end()) return false;
         auto const& last = ended->second;
-        // A store that comes back from an older copy holds entries of servers that have gone since.
+        // A store that was restored from an older copy contains registrations of servers that were removed since.
         if (entry.started_at == last.started) return counted && entry.sequence <= last.sequence;
         return entry.started_at < last.started;
     }
--- a/src/routing/moving_average.cpp
+++ b/src/routing/moving_average.cpp
@@ -1,4 +1,4 @@
-/** @file moving_average.cpp Weights of samples in averages over time. */
+/** @file moving_average.cpp Sample weights and decay of moving averages over time. */
 #include <cornelspring/routing.hpp>
 
 #include <algorithm>
--- a/src/routing/replica_choice.cpp
+++ b/src/routing/replica_choice.cpp
@@ -22,13 +22,13 @@
 
 namespace {
 
-/** Expected waits within this factor of the lowest count as equal, so that VMs do not all pick the same one. */
+/** Expected waits within this factor of the lowest count as equal, so that VMs do not all choose the same server. */
 constexpr double near_factor = 1.15;
 
-/** Whether a backend server may get work. */
+/** Whether a backend server may get new attempts. */
 enum class usability { normal, last_resort, none };
 
-/** @return whether @p server may get work at @p now. */
+/** @return whether @p server may get new attempts at @p now. */
 usability usable(backend_server const& server, selection_options const& options, time_point now)
 {
     if (server.removed) return usability::none;
@@ -55,7 +55,7 @@
     double wait_ms = 0;                     ///< Expected wait.
 };
 
-/** @return one of the candidates with nearly the lowest wait; its server is null when there is none. */
+/** @return a random one of the candidates near the lowest wait; its server is null when there are none. */
 candidate pick_near_lowest(std::vector<candidate> const& candidates, std::mt19937_64& random)
 {
     if (candidates.empty()) return {};
@@ -71,10 +71,11 @@
     return *chosen;
 }
 
-/** Why no candidate is left: the rule that will give way first, as callers are told when to come back. */
+/** Why no candidate is left: the rule that will stop applying first, since the retry-after sent to callers depends on
+ * it. */
 class miss_reason {
 public:
-    /** A backend server was left out for a rule on places. */
+    /** Records that a placement rule excluded a backend server. */
     void add(placement_refusal refusal)
     {
         if (refusal == placement_refusal::outside_home_regions && m_miss == selection_failure::no_backend)
@@ -87,7 +88,7 @@
     selection_failure value() const { return m_miss; }
 
 private:
-    selection_failure m_miss = selection_failure::no_backend; ///< So far.
+    selection_failure m_miss = selection_failure::no_backend; ///< Reason so far.
 };
 
 } // namespace
--- a/src/routing/retry_budget.cpp
+++ b/src/routing/retry_budget.cpp
@@ -1,4 +1,4 @@
-/** @file retry_budget.cpp Sliding-window allowance of extra arrivals. */
+/** @file retry_budget.cpp Sliding-window limit on extra attempts. */
 #include <cornelspring/routing.hpp>
 
 #include <algorithm>
@@ -7,12 +7,12 @@
 namespace {
 
 /**
- * Share of the bound that this VM uses. The rest covers what it cannot see: VMs that restarted within the window and
- * forgot what they had spent, and the edges of its whole-second counts.
+ * Share of the limit that this VM uses. The rest covers VMs that restarted within the window and lost their counts, and
+ * the rounding of the counts to whole seconds.
  */
 constexpr double used_share = 0.75;
 
-/** @return the second of the steady clock that @p now falls in. */
+/** @return the second of the steady clock that contains @p now. */
 std::int64_t second_of(time_point now)
 {
     return std::chrono::duration_cast<std::chrono::seconds>(now.time_since_epoch()).count();
@@ -37,7 +37,8 @@
     double extras = 0;
     for (auto const& count : m_seconds) {
         if (count.second < 0 || count.second > second) continue;
-        // Extras of a whole further second may still fall into the same window as the next one.
+        // The counts cover whole seconds, so extra attempts up to one second older may share a window with the next
+        // one.
         if (second - count.second <= bound.window.count()) extras += count.extras;
         if (second - count.second < bound.window.count()) requests += count.requests;
     }
--- a/src/routing/serving_config.cpp
+++ b/src/routing/serving_config.cpp
@@ -6,7 +6,7 @@
 namespace cornelspring {
 namespace {
 
-/** Connections assumed of a service that the configuration does not describe. */
+/** Connection limit of a service that is not configured. */
 constexpr int default_max_connections = 16;
 
 /** @return the key of @p prefix at @p host. */
@@ -18,7 +18,7 @@
     return key;
 }
 
-/** @return whether one of @p routes over the same shards ranks higher than @p via. */
+/** @return whether one of @p routes over the same shards has a higher priority than @p via. */
 bool outranked(route const& via, std::vector<route> const& routes)
 {
     return std::any_of(routes.begin(), routes.end(), [&via](route const& other) {
--- a/src/routing/shard_availability.cpp
+++ b/src/routing/shard_availability.cpp
@@ -1,14 +1,14 @@
-/** @file shard_availability.cpp How often one shard answered lately. */
+/** @file shard_availability.cpp Recent share of queries to which a shard responded. */
 #include <cornelspring/routing.hpp>
 
 namespace cornelspring {
 namespace {
 
-/** A VM that sees one query a second must learn from two of them; where it sees many, the moment in which it was cut
- * off, or in which a server has just started, must not count as often as there were queries. */
+/** A VM with one query per second must detect a failing shard within two queries. With many queries per second, one
+ * short failure, while the VM is cut off or a backend server has just started, must not count once per query. */
 constexpr sample_weight outcome_weight{milliseconds(800), 0.05, 0.5};
-/** Without outcomes, half of what a shard lacked is forgiven in this time: a backend server that is full works off its
- *  queue within a second or two, and queries must find out. */
+/** Half-life of a shard's missing share when there are no outcomes: a full backend server works off its queue within a
+ *  second or two, and queries must be sent again to detect that. */
 constexpr milliseconds recovery_half_life{1500};
 
 } // namespace
