--- a/include/cornelspring/places.hpp
+++ b/include/cornelspring/places.hpp
@@ -50,20 +50,20 @@
 class evacuations {
 public:
     /** Starts the evacuation of @p domain. @param domain failure domain. @return whether it is new. */
-    bool start(domain_name const& domain) { return m_orders.insert(domain).second; }
+    bool start(domain_name const& domain) { return m_domains.insert(domain).second; }
     /** Stops the evacuation of @p domain. @param domain failure domain. @param now current time. @return whether it was
      *  in force. */
     bool stop(domain_name const& domain, time_point now);
     /** @return whether @p domain is evacuated. @param domain failure domain. */
-    bool is_evacuated(domain_name const& domain) const { return m_orders.contains(domain); }
+    bool is_evacuated(domain_name const& domain) const { return m_domains.contains(domain); }
     /** @return all evacuated failure domains. */
-    std::set<domain_name> const& domains() const { return m_orders; }
+    std::set<domain_name> const& domains() const { return m_domains; }
     /** @return when the last evacuation of @p domain stopped; empty when none has. @param domain failure domain. */
     std::optional<time_point> stopped_at(domain_name const& domain) const;
 
 private:
-    std::set<domain_name> m_orders;            ///< Evacuated failure domains.
-    std::map<domain_name, time_point> m_ended; ///< When the last evacuation of each stopped.
+    std::set<domain_name> m_domains;             ///< Evacuated failure domains.
+    std::map<domain_name, time_point> m_stopped; ///< When the last evacuation of each stopped.
 };
 
 // ---- Cold backend servers ----
@@ -92,17 +92,17 @@
  */
 class warmup_quotas {
 public:
-    /** Sets the VMs that share the limit. @param sharers store keys of the VMs to which callers are sent. @param self
-     * this VM's key. @param now current time. */
-    void set_participants(std::set<std::string> const& sharers, std::string const& self, time_point now);
+    /** Sets the VMs that share the limit. @param participants store keys of the VMs to which callers are sent. @param
+     * self this VM's key. @param now current time. */
+    void set_participants(std::set<std::string> const& participants, std::string const& self, time_point now);
     /** @return requests that this VM may send to @p server in any second. @param server its id. @param bound limit on
      * the requests per second from all VMs together. @param now current time. */
     int quota(std::string const& server, double bound, time_point now) const;
 
 private:
-    std::vector<std::string> m_sharers; ///< Store keys of the VMs that share the limit.
-    std::string m_self;                 ///< This VM's key.
-    std::optional<time_point> m_since;  ///< When this VM became one of them; empty when it is not.
+    std::vector<std::string> m_participants;       ///< Store keys of the VMs that share the limit.
+    std::string m_self;                            ///< This VM's key.
+    std::optional<time_point> m_participant_since; ///< When this VM became one of them; empty when it is not.
 };
 
 /** Counts the requests that this VM sent to one backend server within the last second. */
@@ -149,27 +149,27 @@
 public:
     /** @param limits rate limit of cold backend servers. */
     explicit placement_rules(warmup_limits limits = {}) : m_limits(limits) {}
-    /** @return why the request may not be sent to @p server now, or none. @param server backend server. @param asked
-     * the request. @param now current time. */
-    placement_refusal refusal(server_placement const& server, placement_requirements const& asked,
+    /** @return why the request may not be sent to @p server now, or none. @param server backend server. @param
+     * requirements the request. @param now current time. */
+    placement_refusal refusal(server_placement const& server, placement_requirements const& requirements,
                               time_point now) const;
-    /** Records a request sent to @p server. @param server backend server. @param asked the request. @param now current
-     *  time. */
-    void on_sent(server_placement& server, placement_requirements const& asked, time_point now) const;
+    /** Records a request sent to @p server. @param server backend server. @param requirements the request. @param now
+     * current time. */
+    void on_sent(server_placement& server, placement_requirements const& requirements, time_point now) const;
     /** @return whether @p server counts as cold: it said so, or the evacuation of its failure domain stopped less than
      * a warm-up ago. @param server backend server. @param warmup warm-up of its service. @param now current time. */
     bool is_cold(server_placement const& server, warmup_spec const& warmup, time_point now) const;
     /** @return the evacuations. */
-    evacuations& evacuated() { return m_evacuated; }
+    evacuations& evacuated() { return m_evacuations; }
     /** @return the evacuations. */
-    evacuations const& evacuated() const { return m_evacuated; }
+    evacuations const& evacuated() const { return m_evacuations; }
     /** @return this VM's quotas for cold backend servers. */
-    warmup_quotas& quotas() { return m_shares; }
+    warmup_quotas& quotas() { return m_quotas; }
 
 private:
-    warmup_limits m_limits;  ///< Rate limit of cold backend servers.
-    evacuations m_evacuated; ///< Evacuated failure domains.
-    warmup_quotas m_shares;  ///< Division of the rate limit among VMs.
+    warmup_limits m_limits;    ///< Rate limit of cold backend servers.
+    evacuations m_evacuations; ///< Evacuated failure domains.
+    warmup_quotas m_quotas;    ///< Division of the rate limit among VMs.
 };
 
 } // namespace cornelspring
--- a/include/cornelspring/quarantine.hpp
+++ b/include/cornelspring/quarantine.hpp
@@ -39,13 +39,13 @@
 
 private:
     /** A request that got a response. */
-    struct answered_request {
+    struct slot {
         std::size_t key = 0; ///< Hash of the request's content.
         time_point at;       ///< Time of the last response.
     };
     /** Slots of the table; a request overwrites another one with the same slot. */
-    static constexpr std::size_t places = 2048;
-    std::array<answered_request, places> m_answered; ///< By key.
+    static constexpr std::size_t slot_count = 2048;
+    std::array<slot, slot_count> m_responses; ///< By key.
 };
 
 /** State of a request in the quarantine. */
@@ -138,37 +138,37 @@
 private:
     /** What is recorded of one request. */
     struct known_request {
-        int own_crashes = 0;             ///< Crashes observed here.
-        std::map<std::string, int> told; ///< Crashes observed by each other gateway.
-        int convictions = 0;             ///< Highest number of quarantines of any gateway.
-        bool convicted_here = false;     ///< This VM started the last quarantine.
-        time_point quarantined_until;    ///< End of the quarantine.
-        time_point forget_at;            ///< The record is dropped after that time.
-        bool on_trial = false;           ///< This VM sent it to a backend server and waits.
-        bool answered = false;           ///< A backend server responded here after crashes.
+        int own_crashes = 0;                     ///< Crashes observed here.
+        std::map<std::string, int> peer_crashes; ///< Crashes observed by each other gateway.
+        int quarantines = 0;                     ///< Highest number of quarantines of any gateway.
+        bool quarantined_here = false;           ///< This VM started the last quarantine.
+        time_point quarantined_until;            ///< End of the quarantine.
+        time_point expires_at;                   ///< The record is dropped after that time.
+        bool on_trial = false;                   ///< This VM sent it to a backend server and waits.
+        bool answered = false;                   ///< A backend server responded here after crashes.
         /** Clears all crashes and quarantines. @return whether some of the crashes were observed here. */
         bool clear();
         /** @return crashes observed by all gateways. */
         int crashes() const;
         /** @return its status. @param now current time. */
-        quarantine_status standing(time_point now) const;
+        quarantine_status status(time_point now) const;
     };
     /** @return the record of a request, created when absent, with its expiry set from @p now. */
-    known_request& remember(request_digest const& digest, time_point now);
+    known_request& touch(request_digest const& digest, time_point now);
     /** Drops expired records, and the oldest one when the limit is reached. */
-    void forget(time_point now);
+    void evict(time_point now);
     /** Applies the quarantine of a record. */
     void extend_quarantine(known_request& request, crash_record const& record, time_point now) const;
     /** Calls the hook with the status of a request. */
-    void report(request_digest const& digest, std::string const& source, bool to_tell, time_point now);
+    void report(request_digest const& digest, std::string const& source, bool own_record_changed, time_point now);
 
     quarantine_options m_options;                              ///< Settings.
     std::unordered_map<std::string, known_request> m_requests; ///< By digest.
     std::function<void(change const&)> m_on_change;            ///< Hook.
 };
 
-/** @return the name of @p standing for logs. @param standing the status. */
-char const* to_string(quarantine_status standing);
+/** @return the name of @p status for logs. @param status the status. */
+char const* to_string(quarantine_status status);
 /** @return records as the value of a store key. @param records records. */
 std::string encode_crash_records(std::vector<crash_record> const& records);
 /** @return the records in @p value. @param value store value. @throw error bad_request when malformed. */
--- a/include/cornelspring/routing.hpp
+++ b/include/cornelspring/routing.hpp
@@ -1,6 +1,6 @@
 /**
- * @file routing.hpp Routing, without sockets or clock reads: routes, the registry of backend servers with their observed
- * load, replica choice, retry budget.
+ * @file routing.hpp Routing, without sockets or clock reads: routes, the registry of backend servers with their
+ * observed load, replica choice, retry budget.
  */
 #pragma once
 
@@ -205,12 +205,12 @@
     double failure_rate() const { return m_failure_rate; }
 
 private:
-    int m_in_flight = 0;        ///< Attempts in flight.
-    int m_strikes = 0;          ///< Failures and stalls in a row.
-    double m_latency_ms = 0;    ///< Moving average; 0 before the first sample.
-    double m_failure_rate = 0;  ///< Moving average of failures.
-    time_point m_sampled_at;    ///< Time of the last sample.
-    time_point m_suspect_until; ///< It is suspect until then.
+    int m_in_flight = 0;            ///< Attempts in flight.
+    int m_consecutive_failures = 0; ///< Failures and stalls in a row.
+    double m_latency_ms = 0;        ///< Moving average; 0 before the first sample.
+    double m_failure_rate = 0;      ///< Moving average of failures.
+    time_point m_sampled_at;        ///< Time of the last sample.
+    time_point m_suspect_until;     ///< It is suspect until then.
 };
 
 /** A backend server in this VM's registry. */
@@ -289,18 +289,19 @@
 /** All backend servers known to this VM, by service. */
 class backend_registry {
 public:
-    /** @param place locality of this VM. @param lapse_grace time within which registrations that lapsed in a store
+    /** @param where locality of this VM. @param lapse_grace time within which registrations that lapsed in a store
      * outage may return. */
-    backend_registry(locality place, milliseconds lapse_grace) : m_place(std::move(place)), m_lapse_grace(lapse_grace)
+    backend_registry(locality where, milliseconds lapse_grace)
+        : m_locality(std::move(where)), m_lapse_grace(lapse_grace)
     {
     }
     /**
      * Applies a registration. One of an earlier start, or with a lower sequence than the last one applied, is ignored:
      * a write that the store applies late, or an outdated copy, must not bring back a backend server that was removed.
      * A later start makes a new backend server without observations.
-     * @param entry registration. @param now current time. @return whether routing changes.
+     * @param registration registration. @param now current time. @return whether routing changes.
      */
-    bool apply(backend_registration const& entry, time_point now);
+    bool apply(backend_registration const& registration, time_point now);
     /** Applies the removal of a registration. @param id backend server. @param now current time. @return whether it was
      *  known. */
     bool remove(backend_id const& id, time_point now);
@@ -319,24 +320,25 @@
     std::shared_ptr<backend_server> find(backend_id const& id) const;
 
 private:
-    /** @return whether @p entry is older than the last registration of its backend server. @param entry registration.
+    /** @return whether @p registration is older than the last registration of its backend server. @param registration
+     * registration.
      */
-    bool outdated(backend_registration const& entry) const;
+    bool outdated(backend_registration const& registration) const;
     /** Removes a backend server from its group: it gets no new attempts. @param server backend server. */
     void retire(std::shared_ptr<backend_server> const& server);
 
-    locality m_place;           ///< Locality of this VM.
+    locality m_locality;        ///< Locality of this VM.
     milliseconds m_lapse_grace; ///< Time within which lapsed registrations may return.
     time_point m_lapses_until;  ///< Removals until then may be lapses.
     std::unordered_map<std::string, std::unique_ptr<service_group>> m_groups;    ///< By service name.
     std::unordered_map<std::string, std::shared_ptr<backend_server>> m_backends; ///< By id.
     /** Last registration of a removed backend server. */
-    struct ended_server {
+    struct removed_server {
         start_time started;        ///< Its start time.
         std::int64_t sequence = 0; ///< Sequence of its last registration.
     };
-    std::unordered_map<std::string, ended_server> m_ended; ///< Removed backend servers, by id.
-    std::deque<std::string> m_ended_order;                 ///< Their ids, oldest removal first.
+    std::unordered_map<std::string, removed_server> m_removed; ///< Removed backend servers, by id.
+    std::deque<std::string> m_removal_order;                   ///< Their ids, oldest removal first.
 };
 
 /** Settings of replica choice. */
--- a/src/places/evacuations.cpp
+++ b/src/places/evacuations.cpp
@@ -17,15 +17,15 @@
 
 bool evacuations::stop(domain_name const& domain, time_point now)
 {
-    if (m_orders.erase(domain) == 0) return false;
-    m_ended[domain] = now;
+    if (m_domains.erase(domain) == 0) return false;
+    m_stopped[domain] = now;
     return true;
 }
 
 std::optional<time_point> evacuations::stopped_at(domain_name const& domain) const
 {
-    auto const found = m_ended.find(domain);
-    if (found == m_ended.end()) return std::nullopt;
+    auto const found = m_stopped.find(domain);
+    if (found == m_stopped.end()) return std::nullopt;
     return found->second;
 }
 
--- a/src/places/placement_rules.cpp
+++ b/src/places/placement_rules.cpp
@@ -19,24 +19,27 @@
 bool placement_rules::is_cold(server_placement const& server, warmup_spec const& warmup, time_point now) const
 {
     if (now < server.cold_until) return true;
-    auto const returned = m_evacuated.stopped_at(server.domain);
-    return returned && now < *returned + warmup.duration;
+    auto const stopped_at = m_evacuations.stopped_at(server.domain);
+    return stopped_at && now < *stopped_at + warmup.duration;
 }
 
-placement_refusal placement_rules::refusal(server_placement const& server, placement_requirements const& asked,
+placement_refusal placement_rules::refusal(server_placement const& server, placement_requirements const& requirements,
                                            time_point now) const
 {
-    if (!in_home_regions(asked.home_regions, server.region)) return placement_refusal::outside_home_regions;
-    if (m_evacuated.is_evacuated(server.domain)) return placement_refusal::evacuated;
-    if (asked.warmup.per_second <= 0 || !is_cold(server, asked.warmup, now)) return placement_refusal::none;
-    double const bound = asked.warmup.per_second * m_limits.factor + m_limits.slack;
-    bool const has_room = server.sent_while_cold.count(now) < m_shares.quota(server.id, bound, now);
+    if (!in_home_regions(requirements.home_regions, server.region)) return placement_refusal::outside_home_regions;
+    if (m_evacuations.is_evacuated(server.domain)) return placement_refusal::evacuated;
+    if (requirements.warmup.per_second <= 0 || !is_cold(server, requirements.warmup, now))
+        return placement_refusal::none;
+    double const bound = requirements.warmup.per_second * m_limits.factor + m_limits.slack;
+    bool const has_room = server.sent_while_cold.count(now) < m_quotas.quota(server.id, bound, now);
     return has_room ? placement_refusal::none : placement_refusal::cold;
 }
 
-void placement_rules::on_sent(server_placement& server, placement_requirements const& asked, time_point now) const
+void placement_rules::on_sent(server_placement& server, placement_requirements const& requirements,
+                              time_point now) const
 {
-    if (asked.warmup.per_second > 0 && is_cold(server, asked.warmup, now)) server.sent_while_cold.on_sent(now);
+    if (requirements.warmup.per_second > 0 && is_cold(server, requirements.warmup, now))
+        server.sent_while_cold.on_sent(now);
 }
 
 } // namespace cornelspring
--- a/src/quarantine/request_digest.cpp
+++ b/src/quarantine/request_digest.cpp
@@ -12,7 +12,7 @@
 constexpr std::size_t digest_bytes = 16;
 
 /** How long a response counts as recent: backend servers may have changed since. */
-constexpr milliseconds lately{30000};
+constexpr milliseconds recent_period{30000};
 
 /** Appends @p part with its length, so that different lists of parts give different texts. */
 void append_part(std::string& text, std::string_view part)
@@ -21,7 +21,7 @@
 }
 
 /** @return the content of the request that its digest covers, as one text. */
-std::string question_of(http_request const& request)
+std::string content_of(http_request const& request)
 {
     std::string text;
     for (auto const& part :
@@ -34,7 +34,7 @@
 
 request_digest digest_of(http_request const& request)
 {
-    auto const text = question_of(request);
+    auto const text = content_of(request);
     std::array<unsigned char, EVP_MAX_MD_SIZE> hash{};
     unsigned int size = 0;
     EVP_Digest(text.data(), text.size(), hash.data(), &size, EVP_sha256(), nullptr);
@@ -47,15 +47,15 @@
 
 void recent_responses::add(http_request const& request, time_point now)
 {
-    auto const key = std::hash<std::string>()(question_of(request));
-    m_answered[key % places] = {key, now};
+    auto const key = std::hash<std::string>()(content_of(request));
+    m_responses[key % slot_count] = {key, now};
 }
 
 bool recent_responses::contains(http_request const& request, time_point now) const
 {
-    auto const key = std::hash<std::string>()(question_of(request));
-    auto const& found = m_answered[key % places];
-    return found.key == key && now < found.at + lately;
+    auto const key = std::hash<std::string>()(content_of(request));
+    auto const& found = m_responses[key % slot_count];
+    return found.key == key && now < found.at + recent_period;
 }
 
 } // namespace cornelspring
--- a/src/quarantine/request_quarantine.cpp
+++ b/src/quarantine/request_quarantine.cpp
@@ -5,9 +5,9 @@
 
 namespace cornelspring {
 
-char const* to_string(quarantine_status standing)
+char const* to_string(quarantine_status status)
 {
-    switch (standing) {
+    switch (status) {
     case quarantine_status::clear: return "clear";
     case quarantine_status::suspect: return "suspect";
     case quarantine_status::quarantined: return "quarantined";
@@ -18,31 +18,31 @@
 int request_quarantine::known_request::crashes() const
 {
     int sum = own_crashes;
-    for (auto const& [source, count] : told)
+    for (auto const& [source, count] : peer_crashes)
         sum += count;
     return sum;
 }
 
 bool request_quarantine::known_request::clear()
 {
-    bool const seen_here = own_crashes > 0;
-    own_crashes = convictions = 0;
-    convicted_here = false;
+    bool const observed_here = own_crashes > 0;
+    own_crashes = quarantines = 0;
+    quarantined_here = false;
     quarantined_until = {};
-    told.clear();
-    return seen_here;
+    peer_crashes.clear();
+    return observed_here;
 }
 
-quarantine_status request_quarantine::known_request::standing(time_point now) const
+quarantine_status request_quarantine::known_request::status(time_point now) const
 {
     if (now < quarantined_until) return quarantine_status::quarantined;
-    return crashes() > 0 && now < forget_at ? quarantine_status::suspect : quarantine_status::clear;
+    return crashes() > 0 && now < expires_at ? quarantine_status::suspect : quarantine_status::clear;
 }
 
 quarantine_status request_quarantine::status(request_digest const& digest, time_point now) const
 {
     auto const found = m_requests.find(digest.value());
-    return found == m_requests.end() ? quarantine_status::clear : found->second.standing(now);
+    return found == m_requests.end() ? quarantine_status::clear : found->second.status(now);
 }
 
 milliseconds request_quarantine::quarantine_left(request_digest const& digest, time_point now) const
@@ -80,7 +80,7 @@
 
 void request_quarantine::on_crashes(request_digest const& digest, int crashes, time_point now)
 {
-    auto& request = remember(digest, now);
+    auto& request = touch(digest, now);
     request.own_crashes += crashes;
     request.answered = false;
     report(digest, {}, true, now);
@@ -88,12 +88,12 @@
 
 void request_quarantine::start_quarantine(request_digest const& digest, time_point now)
 {
-    auto& request = remember(digest, now);
+    auto& request = touch(digest, now);
     auto length = m_options.first_duration;
-    for (int i = 0; i < request.convictions && length < m_options.max_duration; ++i)
+    for (int i = 0; i < request.quarantines && length < m_options.max_duration; ++i)
         length *= 2;
-    ++request.convictions;
-    request.convicted_here = true;
+    ++request.quarantines;
+    request.quarantined_here = true;
     request.quarantined_until = std::max(request.quarantined_until, now + std::min(length, m_options.max_duration));
     report(digest, {}, true, now);
 }
@@ -101,10 +101,10 @@
 void request_quarantine::on_response(request_digest const& digest, time_point now)
 {
     auto const found = m_requests.find(digest.value());
-    if (found == m_requests.end() || found->second.standing(now) == quarantine_status::clear) return;
+    if (found == m_requests.end() || found->second.status(now) == quarantine_status::clear) return;
     found->second.clear();
     found->second.answered = true;
-    found->second.forget_at = now + m_options.max_duration;
+    found->second.expires_at = now + m_options.max_duration;
     report(digest, {}, true, now);
 }
 
@@ -112,11 +112,11 @@
 {
     std::vector<crash_record> records;
     for (auto const& [digest, request] : m_requests) {
-        bool const seen_here = request.own_crashes > 0 || request.answered;
-        if (!seen_here || now >= request.forget_at) continue;
+        bool const observed_here = request.own_crashes > 0 || request.answered;
+        if (!observed_here || now >= request.expires_at) continue;
         crash_record record{request_digest(digest), request.own_crashes, 0, milliseconds(0), request.answered};
-        if (request.convicted_here) {
-            record.quarantines = request.convictions;
+        if (request.quarantined_here) {
+            record.quarantines = request.quarantines;
             record.quarantine_left = quarantine_left(record.digest, now);
         }
         records.push_back(std::move(record));
@@ -131,27 +131,28 @@
     for (auto const& record : records)
         next.emplace(record.digest.value(), record);
     for (auto& [digest, request] : m_requests) {
-        if (!next.contains(digest)) request.told.erase(source);
+        if (!next.contains(digest)) request.peer_crashes.erase(source);
     }
     for (auto const& [digest, record] : next) {
         auto const before = status(record.digest, now);
         if (record.answered && before == quarantine_status::clear) continue;
-        auto& request = remember(record.digest, now);
-        request.told[source] = record.crashes;
+        auto& request = touch(record.digest, now);
+        request.peer_crashes[source] = record.crashes;
         extend_quarantine(request, record, now);
-        bool const speaks_for = record.answered && request.clear();
-        bool const speaks_against = record.quarantine_left > milliseconds(0) && std::exchange(request.answered, false);
-        if (request.standing(now) != before) report(record.digest, source, speaks_for || speaks_against, now);
+        bool const cleared = record.answered && request.clear();
+        bool const response_outdated =
+            record.quarantine_left > milliseconds(0) && std::exchange(request.answered, false);
+        if (request.status(now) != before) report(record.digest, source, cleared || response_outdated, now);
     }
 }
 
 void request_quarantine::restore_own_records(std::vector<crash_record> const& records, time_point now)
 {
     for (auto const& record : records) {
-        auto& request = remember(record.digest, now);
+        auto& request = touch(record.digest, now);
         if (request.own_crashes > 0 || record.answered) continue;
         request.own_crashes = record.crashes;
-        request.convicted_here = record.quarantines > 0;
+        request.quarantined_here = record.quarantines > 0;
         extend_quarantine(request, record, now);
         report(record.digest, {}, true, now);
     }
@@ -161,39 +162,40 @@
 {
     auto const left = std::min(record.quarantine_left, m_options.max_duration);
     request.quarantined_until = std::max(request.quarantined_until, now + left);
-    request.convictions = std::max(request.convictions, record.quarantines);
+    request.quarantines = std::max(request.quarantines, record.quarantines);
 }
 
-request_quarantine::known_request& request_quarantine::remember(request_digest const& digest, time_point now)
+request_quarantine::known_request& request_quarantine::touch(request_digest const& digest, time_point now)
 {
-    if (!m_requests.contains(digest.value())) forget(now);
+    if (!m_requests.contains(digest.value())) evict(now);
     auto& request = m_requests[digest.value()];
-    request.forget_at = now + m_options.max_duration;
+    request.expires_at = now + m_options.max_duration;
     return request;
 }
 
-void request_quarantine::forget(time_point now)
+void request_quarantine::evict(time_point now)
 {
     std::erase_if(m_requests, [now](auto const& each) {
         auto const& request = each.second;
-        return !request.on_trial && now >= std::max(request.forget_at, request.quarantined_until);
+        return !request.on_trial && now >= std::max(request.expires_at, request.quarantined_until);
     });
     if (m_requests.size() < m_options.max_requests) return;
     // A request on trial is evicted last: its outcome arrives soon.
     auto const age_order = [](auto const& left, auto const& right) {
-        return std::pair(left.second.on_trial, left.second.forget_at) <
-               std::pair(right.second.on_trial, right.second.forget_at);
+        return std::pair(left.second.on_trial, left.second.expires_at) <
+               std::pair(right.second.on_trial, right.second.expires_at);
     };
     auto const oldest = std::min_element(m_requests.begin(), m_requests.end(), age_order);
     m_requests.erase(oldest);
 }
 
-void request_quarantine::report(request_digest const& digest, std::string const& source, bool to_tell, time_point now)
+void request_quarantine::report(request_digest const& digest, std::string const& source, bool own_record_changed,
+                                time_point now)
 {
     if (!m_on_change) return;
     auto const found = m_requests.find(digest.value());
     int const crashes = found == m_requests.end() ? 0 : found->second.crashes();
-    m_on_change({digest, status(digest, now), crashes, source, to_tell});
+    m_on_change({digest, status(digest, now), crashes, source, own_record_changed});
 }
 
 } // namespace cornelspring
--- a/src/routing/backend_registry.cpp
+++ b/src/routing/backend_registry.cpp
@@ -13,7 +13,7 @@
 constexpr double failure_rate_weight = 0.15;
 /** Without samples, a latency returns half of the way to the usual one in this time, so that the backend server is
  * tried again. */
-constexpr milliseconds forget_half_life{1000};
+constexpr milliseconds latency_half_life{1000};
 /** How long a backend server is suspect after a failure or stall; doubles with each in a row. Pauses of backend servers
  *  last longer than this. */
 constexpr milliseconds suspect_first{120};
@@ -22,14 +22,14 @@
 /** How long it is suspect after it shed a request: a slot frees within milliseconds. */
 constexpr milliseconds suspect_shed{30};
 /** Removed backend servers whose last registration is remembered: as many as a reshard of the largest index removes. */
-constexpr std::size_t ended_kept = 4096;
+constexpr std::size_t max_removed = 4096;
 /** Most doublings of suspect_first. */
 constexpr int max_doublings = 5;
 
-/** @return how long a backend server is suspect. @param strikes failures and stalls in a row. */
-milliseconds suspicion(int strikes)
+/** @return how long a backend server is suspect. @param failures failures and stalls in a row. */
+milliseconds suspicion(int failures)
 {
-    auto const doubled = suspect_first * (1 << std::min(strikes - 1, max_doublings));
+    auto const doubled = suspect_first * (1 << std::min(failures - 1, max_doublings));
     return std::min(doubled, suspect_longest);
 }
 
@@ -57,7 +57,7 @@
         double const sample = static_cast<double>(took.count()) / 1000.0;
         m_latency_ms = m_latency_ms == 0 ? sample : m_latency_ms + latency_weight * (sample - m_latency_ms);
         m_sampled_at = now;
-        m_strikes = 0;
+        m_consecutive_failures = 0;
         m_suspect_until = {};
         return;
     }
@@ -65,8 +65,8 @@
         m_suspect_until = std::max(m_suspect_until, now + suspect_shed);
         return;
     }
-    ++m_strikes;
-    m_suspect_until = std::max(m_suspect_until, now + suspicion(m_strikes));
+    ++m_consecutive_failures;
+    m_suspect_until = std::max(m_suspect_until, now + suspicion(m_consecutive_failures));
 }
 
 void backend_load::on_cancelled(std::chrono::microseconds ran, time_point now)
@@ -81,31 +81,31 @@
 void backend_load::on_stalled(time_point now)
 {
     if (suspect(now)) return; // A pause of the backend server stalls all attempts in flight; it counts once.
-    ++m_strikes;
-    m_suspect_until = now + suspicion(m_strikes);
+    ++m_consecutive_failures;
+    m_suspect_until = now + suspicion(m_consecutive_failures);
 }
 
 double backend_load::latency_ms(double usual, time_point now) const
 {
     if (m_latency_ms == 0) return usual;
-    return usual + (m_latency_ms - usual) * decay_factor(now - m_sampled_at, forget_half_life);
+    return usual + (m_latency_ms - usual) * decay_factor(now - m_sampled_at, latency_half_life);
 }
 
-bool backend_registry::outdated(backend_registration const& entry) const
+bool backend_registry::outdated(backend_registration const& registration) const
 {
-    auto const known = m_backends.find(entry.id.value());
-    bool const counted = entry.started_at != start_time();
+    auto const known = m_backends.find(registration.id.value());
+    bool const counted = registration.started_at != start_time();
     if (known == m_backends.end()) {
-        auto const ended = m_ended.find(entry.id.value());
-        if (ended == m_ended.end()) return false;
-        auto const& last = ended->second;
+        auto const removed = m_removed.find(registration.id.value());
+        if (removed == m_removed.end()) return false;
+        auto const& last = removed->second;
         // A store that was restored from an older copy contains registrations of servers that were removed since.
-        if (entry.started_at == last.started) return counted && entry.sequence <= last.sequence;
-        return entry.started_at < last.started;
+        if (registration.started_at == last.started) return counted && registration.sequence <= last.sequence;
+        return registration.started_at < last.started;
     }
     auto const& last = known->second->registration;
-    if (entry.started_at != last.started_at) return entry.started_at < last.started_at;
-    return counted && entry.sequence < last.sequence;
+    if (registration.started_at != last.started_at) return registration.started_at < last.started_at;
+    return counted && registration.sequence < last.sequence;
 }
 
 void backend_registry::retire(std::shared_ptr<backend_server> const& server)
@@ -114,30 +114,30 @@
     std::erase(group(server->registration.service).backends, server);
 }
 
-bool backend_registry::apply(backend_registration const& entry, time_point now)
+bool backend_registry::apply(backend_registration const& registration, time_point now)
 {
-    if (outdated(entry)) return false;
-    auto& known = m_backends[entry.id.value()];
-    bool const other = known != nullptr && (known->registration.started_at != entry.started_at ||
-                                            known->registration.service != entry.service);
+    if (outdated(registration)) return false;
+    auto& known = m_backends[registration.id.value()];
+    bool const other = known != nullptr && (known->registration.started_at != registration.started_at ||
+                                            known->registration.service != registration.service);
     if (other) retire(std::exchange(known, nullptr));
     bool const is_new = known == nullptr;
     if (is_new) {
         known = std::make_shared<backend_server>();
-        group(entry.service).backends.push_back(known);
+        group(registration.service).backends.push_back(known);
     }
     auto& server = *known;
     bool const changed =
-        is_new || server.removed || server.lapsed_until || server.registration.draining != entry.draining;
-    server.registration = entry;
-    server.distance = m_place.proximity_to(entry.domain);
-    server.placement.domain = entry.domain;
-    server.placement.region = m_place.region_of(entry.domain);
-    server.placement.id = entry.id.value();
-    server.placement.cold_until = now + entry.warmup_left;
+        is_new || server.removed || server.lapsed_until || server.registration.draining != registration.draining;
+    server.registration = registration;
+    server.distance = m_locality.proximity_to(registration.domain);
+    server.placement.domain = registration.domain;
+    server.placement.region = m_locality.region_of(registration.domain);
+    server.placement.id = registration.id.value();
+    server.placement.cold_until = now + registration.warmup_left;
     server.removed = false;
     server.lapsed_until.reset();
-    if (!entry.draining) {
+    if (!registration.draining) {
         server.draining_since.reset();
     } else if (!server.draining_since) {
         server.draining_since = now;
@@ -154,11 +154,11 @@
         if (!server.lapsed_until) server.lapsed_until = m_lapses_until;
         return true;
     }
-    ended_server const last{server.registration.started_at, server.registration.sequence};
-    if (m_ended.insert_or_assign(id.value(), last).second) m_ended_order.push_back(id.value());
-    if (m_ended_order.size() > ended_kept) {
-        m_ended.erase(m_ended_order.front());
-        m_ended_order.pop_front();
+    removed_server const last{server.registration.started_at, server.registration.sequence};
+    if (m_removed.insert_or_assign(id.value(), last).second) m_removal_order.push_back(id.value());
+    if (m_removal_order.size() > max_removed) {
+        m_removed.erase(m_removal_order.front());
+        m_removal_order.pop_front();
     }
     retire(found->second);
     m_backends.erase(found);
--- a/src/routing/serving_config.cpp
+++ b/src/routing/serving_config.cpp
@@ -19,7 +19,7 @@
 }
 
 /** @return whether one of @p routes over the same shards has a higher priority than @p via. */
-bool outranked(route const& via, std::vector<route> const& routes)
+bool has_higher_priority_route(route const& via, std::vector<route> const& routes)
 {
     return std::any_of(routes.begin(), routes.end(), [&via](route const& other) {
         return other.priority < via.priority && other.gather && other.gather->shards == via.gather->shards;
@@ -40,7 +40,7 @@
             m_min_gather_connections =
                 m_min_gather_connections == 0 ? limit : std::min(m_min_gather_connections, limit);
         }
-        m_routes[i].highest_priority = !outranked(m_routes[i], m_routes);
+        m_routes[i].highest_priority = !has_higher_priority_route(m_routes[i], m_routes);
     }
 }
 
