--- a/tests/test_backend_entries.cpp
+++ b/tests/test_backend_entries.cpp
@@ -1,4 +1,5 @@
-/** @file test_backend_entries.cpp Entries of backend servers: new starts under an old id, late ones, unreadable ones.
+/** @file test_backend_entries.cpp Registrations of backend servers: restarts under the same id, outdated ones,
+ * malformed ones.
  */
 #include "platform.hpp"
 
@@ -13,7 +14,7 @@
 
 constexpr time_point start{100s};
 
-/** @return an entry of the backend server "b" as the platform's store keeps it. */
+/** @return a registration of the backend server "b" as it is written to the platform's store. */
 nlohmann::json stored()
 {
     return {{"service", "s"}, {"address", "10.1.2.3:80"}, {"zone", "d"}, {"version", "v1"},
@@ -21,7 +22,7 @@
             {"born", 1000000}};
 }
 
-/** @return an entry of "b". */
+/** @return a registration of "b". */
 backend_registration entry_of(std::int64_t started, std::int64_t sequence, bool draining = false)
 {
     backend_registration entry;
@@ -35,7 +36,7 @@
     return entry;
 }
 
-/** @return a registry that knows "b". */
+/** @return a registry with the registration of "b". */
 backend_registry registry_with(backend_registration const& entry)
 {
     backend_registry registry({domain_name("d"), region_name("r"), {}}, 2200ms);
@@ -45,7 +46,7 @@
 
 } // namespace
 
-TEST_CASE("entries: a new start under the same id is a new backend server of which nothing is known")
+TEST_CASE("registrations: a restart under the same id makes a new backend server without observations")
 {
     auto registry = registry_with(entry_of(1000, 50, true));
     auto const before = registry.find(backend_id("b"));
@@ -67,7 +68,7 @@
     CHECK(registry.group(service_name("s")).backends.size() == 1);
 }
 
-TEST_CASE("entries: an earlier start never replaces a later one, also after its removal")
+TEST_CASE("registrations: an earlier start never replaces a later one, also after its removal")
 {
     auto registry = registry_with(entry_of(2000, 1));
     CHECK_FALSE(registry.apply(entry_of(1000, 99, true), start));
@@ -80,7 +81,7 @@
     CHECK(registry.find(backend_id("b")) != nullptr);
 }
 
-TEST_CASE("entries: within one start a lower count is an earlier moment; a new start counts anew")
+TEST_CASE("registrations: within one start a lower sequence is outdated; a new start begins a new sequence")
 {
     auto registry = registry_with(entry_of(1000, 50, true));
     CHECK_FALSE(registry.apply(entry_of(1000, 49), start));
@@ -89,24 +90,24 @@
     CHECK_FALSE(registry.find(backend_id("b"))->draining_since);
 }
 
-TEST_CASE("entries: an old copy of its entry does not bring back a backend server that has gone")
+TEST_CASE("registrations: an outdated copy does not bring back a removed backend server")
 {
     auto registry = registry_with(entry_of(1000, 50, true));
     registry.remove(backend_id("b"), start);
     CHECK_FALSE(registry.apply(entry_of(1000, 48), start));
     CHECK_FALSE(registry.apply(entry_of(1000, 50, true), start));
     CHECK(registry.find(backend_id("b")) == nullptr);
-    CHECK(registry.apply(entry_of(1000, 51), start)); // It lives, and its entry had only lapsed.
+    CHECK(registry.apply(entry_of(1000, 51), start)); // It runs, and its registration had only lapsed.
 }
 
-TEST_CASE("entries: without a start, entries hold as they come")
+TEST_CASE("registrations: without a start time they are applied in the order they arrive")
 {
     auto registry = registry_with(entry_of(0, 50));
     CHECK(registry.apply(entry_of(0, 3, true), start));
     CHECK(registry.find(backend_id("b"))->draining_since);
 }
 
-TEST_CASE("entries: what the platform's store keeps is read whole")
+TEST_CASE("registrations: all fields in the platform's store are read")
 {
     auto const entry = platform::decode_backend("i-1", stored().dump());
     CHECK(entry.id == backend_id("i-1"));
@@ -120,7 +121,7 @@
     CHECK(platform::decode_backend("i-1", without_start.dump()).started_at == start_time(0));
 }
 
-TEST_CASE("entries: an entry of another writer names no backend server")
+TEST_CASE("registrations: one with missing or malformed fields is rejected")
 {
     for (char const* field : {"service", "address", "zone", "slots", "state", "seq", "warmup_left_ms"}) {
         auto missing = stored();
--- a/tests/test_places.cpp
+++ b/tests/test_places.cpp
@@ -1,4 +1,4 @@
-/** @file test_places.cpp What a place may serve: homes, evacuations, cold backend servers. */
+/** @file test_places.cpp Placement rules: home regions, evacuations, cold backend servers. */
 #include <cornelspring/gateway.hpp>
 
 #include "dispatcher_fixture.hpp"
@@ -8,7 +8,8 @@
 
 namespace {
 
-/** A dispatcher whose shards have a replica in the own region r ("a", domain d) and one in region q ("c", domain e). */
+/** A dispatcher whose shards have a replica "a" in the VM's own region r (domain d) and one "c" in region q (domain e).
+ */
 struct places_fixture : dispatcher_fixture {
     places_fixture() : dispatcher_fixture({}, nullptr)
     {
@@ -18,7 +19,8 @@
         }
         placement.quotas().set_participants({"self"}, "self", now - 10s);
     }
-    /** Puts a configuration in force whose routes have @p homes and whose cold servers bear @p per_second. */
+    /** Applies a configuration whose routes have the home regions @p homes and whose cold backend servers can handle
+     *  @p per_second requests per second; 0: no limit. */
     void configure(region_set const& homes, double per_second = 0)
     {
         auto const base = config_of(++version, {"g0", "g1", "g2", "g3"});
@@ -31,7 +33,7 @@
         configs.set_if_newer(
             std::make_shared<serving_config const>(config_version(version), routes, services, caller_limits{}));
     }
-    /** @return ids of the servers that attempts went to. */
+    /** @return the ids of the backend servers to which attempts were sent. */
     std::set<std::string> reached() const
     {
         std::set<std::string> found;
@@ -39,17 +41,17 @@
             found.insert(each.target->registration.id.value());
         return found;
     }
-    int version = 0; ///< Last configuration.
+    int version = 0; ///< Version of the last configuration.
 };
 
-/** @return a member of @p region. */
+/** @return a gateway in @p region. */
 gateway_member member_of(std::string const& domain, std::string const& region, int port)
 {
     endpoint const address{"127.0.0.1", static_cast<std::uint16_t>(port)};
     return {address, address, domain_name(domain), region_name(region), 1, false};
 }
 
-/** @return requests that all of @p vms VMs may send to the server in a second, each of which knows all of them. */
+/** @return requests per second that @p vms VMs together may send to @p server when each of them knows all of them. */
 int shared_by(int vms, std::string const& server, double bound)
 {
     std::set<std::string> keys;
@@ -66,7 +68,7 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(places_fixture, "places: a request with homes reaches no server elsewhere, by no kind of attempt")
+TEST_CASE_FIXTURE(places_fixture, "placement: first attempts, hedges and retries stay in the home regions")
 {
     configure({region_name("q")});
     auto const key = start("/gather/x", "id");
@@ -82,7 +84,8 @@
     CHECK_FALSE(reached().contains("sa"));
 }
 
-TEST_CASE_FIXTURE(places_fixture, "places: with no server at home a request is refused at once, and truly not run")
+TEST_CASE_FIXTURE(places_fixture,
+                  "placement: without a backend server in the home regions a request is rejected at once and not run")
 {
     configure({region_name("nowhere")});
     auto const query = start("/gather/x", "id");
@@ -94,7 +97,9 @@
     CHECK(finished[0].no_home == 4);
 }
 
-TEST_CASE_FIXTURE(places_fixture, "places: a shard without a server at home is missing, and the answer says so")
+TEST_CASE_FIXTURE(
+    places_fixture,
+    "placement: a shard without a backend server in the home regions is reported as missing in the response")
 {
     registry.remove(backend_id("g3a"), now);
     configure({region_name("r")});
@@ -107,13 +112,14 @@
     CHECK(finished[0].no_home >= 1);
 }
 
-TEST_CASE_FIXTURE(places_fixture, "places: an evacuated failure domain gets nothing new until it is taken back")
+TEST_CASE_FIXTURE(places_fixture,
+                  "placement: an evacuated failure domain gets no new attempts until the evacuation stops")
 {
     configure({});
     placement.evacuated().start(domain_name("d"));
     start("/gather/x", "id");
     CHECK(reached() == std::set<std::string>{"g0c", "g1c", "g2c", "g3c"});
-    SUBCASE("what was under way there may end")
+    SUBCASE("attempts in flight there may finish")
     {
         CHECK(placement.evacuated().stop(domain_name("d"), now));
         sent.clear();
@@ -123,7 +129,7 @@
         respond(0, 200, "body");
         CHECK(response_to(key).status == 200);
     }
-    SUBCASE("a second evacuation in series leaves nothing, and callers are told at once")
+    SUBCASE("a second evacuation leaves no backend server, and requests are rejected at once")
     {
         placement.evacuated().start(domain_name("e"));
         auto const key = start("/plain/x", "id2");
@@ -136,9 +142,9 @@
 }
 
 TEST_CASE_FIXTURE(places_fixture,
-                  "places: a cold server gets no more than its pace in any second, and others take over")
+                  "placement: a cold server gets no more than its limit in any second, and others get the rest")
 {
-    configure({}, 4); // 4 x 1.5 + 5 = 11 a second, of which 0.7 are used: 7.
+    configure({}, 4); // 4 x 1.5 + 5 = 11 per second, of which a share of 0.7 is used: 7.
     registry.apply({backend_id("sa"), service_name("s"), {"127.0.0.1", 1}, domain_name("d"), 2, false, 3000ms}, now);
     std::deque<time_point> cold;
     for (int i = 0; i < 250; ++i) {
@@ -157,7 +163,7 @@
     CHECK(cold.size() > 7);
 }
 
-TEST_CASE_FIXTURE(places_fixture, "places: the servers of a domain whose evacuation has just ended count as cold")
+TEST_CASE_FIXTURE(places_fixture, "placement: the servers of a domain whose evacuation has just stopped count as cold")
 {
     configure({region_name("r")}, 4);
     placement.evacuated().start(domain_name("d"));
@@ -172,9 +178,9 @@
     CHECK(sent.size() == 8);
 }
 
-TEST_CASE_FIXTURE(places_fixture, "places: an answer that tells how long its server stays cold is believed")
+TEST_CASE_FIXTURE(places_fixture, "placement: the remaining warm-up in a response is applied to its backend server")
 {
-    configure({region_name("r")}, 0.1); // 5 a second, of which 3 are used.
+    configure({region_name("r")}, 0.1); // 5 per second, of which 3 are used.
     start("/plain/x", "id");
     http_response response;
     response.headers = {{"signature", "sig"}, {"warmup", "2000"}};
@@ -184,7 +190,7 @@
     CHECK(sent.size() == 4);
 }
 
-TEST_CASE("places: what all VMs together send to a cold server stays within its pace")
+TEST_CASE("placement: the quotas of all VMs for a cold server add up to no more than its limit")
 {
     for (int const vms : {1, 7, 12, 87, 470}) {
         for (double const bound : {5.0, 6.5, 17.0, 305.0}) {
@@ -195,7 +201,7 @@
             }
         }
     }
-    SUBCASE("also when a third is cut off and divides by the number it knew")
+    SUBCASE("also when a third of the VMs is cut off and divides by an outdated number of VMs")
     {
         int const cut = 30;
         for (int server = 0; server < 20; ++server) {
@@ -215,7 +221,7 @@
             CHECK(sum <= 305);
         }
     }
-    SUBCASE("a VM that is not named to callers, or has just joined, sends nothing")
+    SUBCASE("a VM to which callers are not sent, or that has just joined, has no quota")
     {
         warmup_quotas shares;
         shares.set_participants({"a", "b"}, "c", time_point(0s));
@@ -226,7 +232,8 @@
     }
 }
 
-TEST_CASE("places: callers of a host with homes are sent to their own region or to its homes, at any size")
+TEST_CASE(
+    "placement: callers of a host with home regions are sent to their own region or to those, for any number of VMs")
 {
     std::mt19937_64 random(1);
     for (int const vms : {7, 87, 300}) {
@@ -254,7 +261,7 @@
     }
 }
 
-TEST_CASE("places: the homes of a host are those of all its routes, else of some")
+TEST_CASE("placement: the home regions of a host are those common to its routes, else those of any route")
 {
     auto const route_of = [](std::string const& prefix, region_set homes) {
         route made;
--- a/tests/test_policy.cpp
+++ b/tests/test_policy.cpp
@@ -1,4 +1,4 @@
-/** @file test_policy.cpp Decisions of the routing policy, with the present time given. */
+/** @file test_policy.cpp Decisions of the adaptive routing policy at given times. */
 #include <cornelspring/coordination.hpp>
 
 #include <doctest/doctest.h>
@@ -8,13 +8,13 @@
 
 namespace {
 
-/** A fixed moment: the decisions only compare times. */
+/** A fixed time; the decisions depend on differences of times only. */
 time_point const start{std::chrono::seconds(1000)};
 
 /** @return two replicas, a and b. */
 std::vector<replica> two_replicas() { return {{"a", {"127.0.0.1", 1}, "Wien", 2}, {"b", {"127.0.0.1", 2}, "Graz", 2}}; }
 
-/** Notes one finished request of @p name. */
+/** Records one finished attempt at the backend server @p name. */
 void observe(backend_tracker& tracker, std::string const& name, attempt_outcome outcome, int took_ms, time_point now)
 {
     tracker.on_sent(name);
@@ -23,12 +23,12 @@
 
 } // namespace
 
-TEST_CASE("the adaptive policy picks by what was observed")
+TEST_CASE("the adaptive policy chooses by observed latency, load and failures")
 {
     struct policy_case {
         char const* name;
         std::function<void(backend_tracker&)> observed;
-        milliseconds later; ///< Time of the choice after start.
+        milliseconds later; ///< Time from start to the choice.
         std::optional<std::size_t> pick;
     };
     policy_case const cases[] = {
@@ -38,7 +38,7 @@
              observe(t, "b", attempt_outcome::succeeded, 5, start);
          },
          milliseconds(0), 1},
-        {"b was never seen: it is tried",
+        {"b has no samples: it is tried",
          [](backend_tracker& t) { observe(t, "a", attempt_outcome::succeeded, 1, start); }, milliseconds(0), 1},
         {"a has a queue",
          [](backend_tracker& t) {
@@ -48,7 +48,7 @@
          milliseconds(0), 1},
         {"a shed just now", [](backend_tracker& t) { observe(t, "a", attempt_outcome::shed, 1, start); },
          milliseconds(1), 1},
-        {"a said it drains", [](backend_tracker& t) { observe(t, "a", attempt_outcome::draining, 1, start); },
+        {"a reported that it drains", [](backend_tracker& t) { observe(t, "a", attempt_outcome::draining, 1, start); },
          milliseconds(1000), 1},
         {"a failed twice",
          [](backend_tracker& t) {
@@ -62,19 +62,19 @@
              observe(t, "a", attempt_outcome::canceled, 500, start);
          },
          milliseconds(0), 1},
-        {"the VM list calls b leaving, though it is faster",
+        {"the VM list marks b as leaving, though it is faster",
          [](backend_tracker& t) {
              observe(t, "b", attempt_outcome::succeeded, 1, start);
              observe(t, "a", attempt_outcome::succeeded, 100, start);
              t.set_leaving_addresses({"127.0.0.1:2"});
          },
          milliseconds(0), 0},
-        {"both are leaving: no new work at all",
+        {"both are leaving: no new attempts",
          [](backend_tracker& t) {
              t.set_leaving_addresses({"127.0.0.1:1", "127.0.0.1:2"});
          },
          milliseconds(0), std::nullopt},
-        {"both failed: one is tried all the same, the less loaded",
+        {"both failed: the less loaded one is tried nevertheless",
          [](backend_tracker& t) {
              for (char const* name : {"a", "b"}) {
                  observe(t, name, attempt_outcome::failed, 1, start);
@@ -95,7 +95,7 @@
     }
 }
 
-TEST_CASE("an ejection ends by itself, doubles with further failures and is lifted by an answer")
+TEST_CASE("an ejection expires, doubles with further failures and is lifted by a response")
 {
     backend_tracker tracker;
     auto const target = two_replicas()[0];
@@ -127,7 +127,7 @@
     CHECK(tracker.expected_wait_us(target, start) > before);
 }
 
-TEST_CASE("one straggler moves the average little, and a slow back end is forgotten with time")
+TEST_CASE("one straggler changes the average little, and the average of a slow backend server decays with time")
 {
     backend_tracker tracker;
     auto const target = two_replicas()[0];
@@ -137,7 +137,7 @@
     CHECK(tracker.expected_wait_us(target, start + milliseconds(500)) == doctest::Approx(8000));
 }
 
-TEST_CASE("a budget allows its burst, then only its share")
+TEST_CASE("a budget allows its burst, then only its ratio")
 {
     token_budget budget(0.05, 2);
     CHECK(budget.spend());
--- a/tests/test_quarantine.cpp
+++ b/tests/test_quarantine.cpp
@@ -1,4 +1,4 @@
-/** @file test_quarantine.cpp Requests under which backend servers end: what makes two of them the same. */
+/** @file test_quarantine.cpp Quarantine of requests that crash backend servers, and the digest of a request. */
 #include <cornelspring/quarantine.hpp>
 
 #include <doctest/doctest.h>
@@ -19,14 +19,15 @@
 
 } // namespace
 
-TEST_CASE("digest: a repetition has the same one, another path, body or caller another")
+TEST_CASE("digest: equal for a repetition, different for another path, body or caller")
 {
     auto const request = make_request("/a/b", "body", "id1");
     auto const first = digest_of(request);
     CHECK(first == digest_of(make_request("/a/b", "body", "id2")));
     CHECK(first != digest_of(make_request("/a/c", "body", "id1")));
     CHECK(first != digest_of(make_request("/a/b", "other", "id1")));
-    CHECK(first != digest_of(make_request("/a/bb", "ody", "id1"))); // Parts cannot be shifted.
+    CHECK(first !=
+          digest_of(make_request("/a/bb", "ody", "id1"))); // The boundaries of the parts are included in the digest.
     auto of_somebody = request;
     of_somebody.headers.push_back({"authorization", "Basic somebody"});
     CHECK(first != digest_of(of_somebody));
@@ -41,7 +42,7 @@
 
 } // namespace
 
-TEST_CASE("quarantine: a request is suspect from the first crash on, and an answer clears it")
+TEST_CASE("quarantine: a request is suspect from the first crash on, and a response clears it")
 {
     request_quarantine quarantine;
     CHECK(quarantine.empty());
@@ -54,7 +55,7 @@
     CHECK(quarantine.status(deadly, begin) == quarantine_status::clear);
 }
 
-TEST_CASE("quarantine: it ends, the request is tried again, and the next one is twice as long")
+TEST_CASE("quarantine: after it the request is tried again, and the next quarantine is twice as long")
 {
     request_quarantine quarantine;
     auto const first = quarantine_options{}.first_duration;
@@ -71,7 +72,7 @@
     CHECK(quarantine.status(deadly, begin + std::chrono::hours(1)) == quarantine_status::clear);
 }
 
-TEST_CASE("quarantine: what gateways see of a request adds up, and a quarantine holds at all of them")
+TEST_CASE("quarantine: the crashes observed by all gateways are added up, and a quarantine applies at all of them")
 {
     request_quarantine here;
     request_quarantine there;
@@ -84,17 +85,17 @@
     there.apply_peer_records("here", decode_crash_records(encode_crash_records(here.own_records(begin))), begin);
     CHECK(there.status(deadly, begin) == quarantine_status::quarantined);
     CHECK(there.quarantine_left(deadly, begin) == quarantine_options{}.first_duration);
-    // Each tells what it saw itself, so that nothing is counted twice.
+    // Each gateway publishes only its own observations, so that no crash is counted twice.
     CHECK(there.own_records(begin).size() == 1);
     CHECK(there.own_records(begin)[0].crashes == 1);
     CHECK(there.own_records(begin)[0].quarantines == 0);
-    // A gateway whose record has gone takes back what it saw, but no quarantine.
+    // When a gateway's record is removed, its crashes no longer count, but the quarantine stays.
     there.apply_peer_records("here", {}, begin);
     CHECK(there.status(deadly, begin) == quarantine_status::quarantined);
     CHECK_FALSE(there.reaches_crash_threshold(deadly, 1));
 }
 
-TEST_CASE("quarantine: a gateway that starts again takes up what it told before")
+TEST_CASE("quarantine: a gateway that restarts restores its own records")
 {
     request_quarantine before;
     before.on_crashes(deadly, 3, begin);
@@ -105,7 +106,7 @@
     CHECK(after.own_records(begin) == before.own_records(begin));
 }
 
-TEST_CASE("quarantine: memory is bounded, and a request on trial is not forgotten")
+TEST_CASE("quarantine: the number of records is bounded, and a request on trial is not evicted")
 {
     quarantine_options options;
     options.max_requests = 8;
@@ -118,13 +119,13 @@
     CHECK(quarantine.on_trial(deadly));
 }
 
-TEST_CASE("quarantine: records of another format are refused")
+TEST_CASE("quarantine: records of another format are rejected")
 {
     CHECK_THROWS_AS(decode_crash_records("{}"), error);
     CHECK_THROWS_AS(decode_crash_records(R"({"requests":[{"digest":1}]})"), error);
 }
 
-TEST_CASE("quarantine: an answer at one gateway ends it at all of them")
+TEST_CASE("quarantine: a response at one gateway ends the quarantine at all of them")
 {
     request_quarantine here;
     request_quarantine there;
--- a/tests/test_routing.cpp
+++ b/tests/test_routing.cpp
@@ -1,4 +1,4 @@
-/** @file test_routing.cpp What requests are routed by: routes, entries, budget, averages, merging. */
+/** @file test_routing.cpp Routes, registrations of backend servers, retry budget, moving averages, merging. */
 #include <cornelspring/dispatch.hpp>
 
 #include <doctest/doctest.h>
@@ -47,7 +47,7 @@
     }
 }
 
-TEST_CASE("routing: a configuration never goes back")
+TEST_CASE("routing: an older configuration does not replace a newer one")
 {
     config_holder holder;
     auto const make = [](int version) {
@@ -61,18 +61,18 @@
     CHECK(holder.set_if_newer(make(9)));
 }
 
-TEST_CASE("routing: entries that lapsed in a store outage get time to return")
+TEST_CASE("routing: registrations that lapsed in a store outage get time to return")
 {
     backend_registry registry({domain_name("d"), region_name("r"), {}}, 2200ms);
     time_point const start{100s};
     registry.apply({backend_id("b1"), service_name("s"), {"127.0.0.1", 1}, domain_name("d"), 1, false, 0ms}, start);
     registry.apply({backend_id("b2"), service_name("s"), {"127.0.0.1", 2}, domain_name("d"), 1, false, 0ms}, start);
-    SUBCASE("a removal without an outage counts at once")
+    SUBCASE("a removal without an outage is applied at once")
     {
         registry.remove(backend_id("b1"), start + 1s);
         CHECK(registry.find(backend_id("b1")) == nullptr);
     }
-    SUBCASE("after an outage it counts when the grace is over")
+    SUBCASE("after an outage it is applied when the grace period is over")
     {
         registry.on_store_recovered(start + 5s);
         registry.remove(backend_id("b1"), start + 5s);
@@ -86,7 +86,7 @@
     }
 }
 
-TEST_CASE("routing: the retry budget holds over any window and all VMs")
+TEST_CASE("routing: the retry budget limits extra attempts in any window over all VMs")
 {
     retry_budget budget;
     retry_budget::limits const bound{0.2, 54, 10s};
@@ -102,7 +102,7 @@
     CHECK(budget.remaining(bound, 7, now + 11s) > 5.0);
 }
 
-TEST_CASE("routing: records are merged greatest first, byte by byte, remainders left out")
+TEST_CASE("routing: records are merged in descending byte order, without incomplete ones")
 {
     std::string const low(16, '\x10');
     std::string const high(16, '\xf0');
@@ -112,7 +112,7 @@
     CHECK(merge_records({}, 3).empty());
 }
 
-TEST_CASE("routing: a route is outranked by another over the same shards only")
+TEST_CASE("routing: only a route over the same shards takes away a route's highest priority")
 {
     auto const gathering = [](char const* name, int priority, std::vector<std::string> const& shards) {
         auto via = plain_route(name, "h", std::string("/") + name + "/", "s");
@@ -132,7 +132,7 @@
     CHECK(urgent == std::vector<bool>{true, false, true, true});
 }
 
-TEST_CASE("routing: samples weigh by the time since the last one, and what is known fades by halves")
+TEST_CASE("routing: sample weights grow with the time since the last sample, and the decay factor halves per half-life")
 {
     using std::chrono::milliseconds;
     constexpr sample_weight weight{milliseconds(1000), 0.1, 0.5};
