--- a/tests/test_places.cpp
+++ b/tests/test_places.cpp
@@ -10,8 +10,8 @@
 
 /** A dispatcher whose shards have a replica "a" in the VM's own region r (domain d) and one "c" in region q (domain e).
  */
-struct places_fixture : dispatcher_fixture {
-    places_fixture() : dispatcher_fixture({}, nullptr)
+struct placement_fixture : dispatcher_fixture {
+    placement_fixture() : dispatcher_fixture({}, nullptr)
     {
         for (char const* service : {"s", "g0", "g1", "g2", "g3"}) {
             registry.remove(backend_id(std::string(service) + "b"), now);
@@ -19,14 +19,14 @@
         }
         placement.quotas().set_participants({"self"}, "self", now - 10s);
     }
-    /** Applies a configuration whose routes have the home regions @p homes and whose cold backend servers can handle
-     *  @p per_second requests per second; 0: no limit. */
-    void configure(region_set const& homes, double per_second = 0)
+    /** Applies a configuration whose routes have the home regions @p home_regions and whose cold backend servers can
+     *  handle @p per_second requests per second; 0: no limit. */
+    void configure(region_set const& home_regions, double per_second = 0)
     {
         auto const base = config_of(++version, {"g0", "g1", "g2", "g3"});
         auto routes = base->routes();
         for (auto& each : routes)
-            each.home_regions = homes;
+            each.home_regions = home_regions;
         std::map<service_name, service_limits> services;
         for (char const* service : {"s", "t", "g0", "g1", "g2", "g3"})
             services[service_name(service)] = {60, {3000ms, per_second}};
@@ -34,7 +34,7 @@
             std::make_shared<serving_config const>(config_version(version), routes, services, caller_limits{}));
     }
     /** @return the ids of the backend servers to which attempts were sent. */
-    std::set<std::string> reached() const
+    std::set<std::string> targets() const
     {
         std::set<std::string> found;
         for (auto const& each : sent)
@@ -52,7 +52,7 @@
 }
 
 /** @return requests per second that @p vms VMs together may send to @p server when each of them knows all of them. */
-int shared_by(int vms, std::string const& server, double bound)
+int total_quota(int vms, std::string const& server, double bound)
 {
     std::set<std::string> keys;
     for (int i = 0; i < vms; ++i)
@@ -68,23 +68,23 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(places_fixture, "placement: first attempts, hedges and retries stay in the home regions")
+TEST_CASE_FIXTURE(placement_fixture, "placement: first attempts, hedges and retries stay in the home regions")
 {
     configure({region_name("q")});
     auto const key = start("/gather/x", "id");
-    CHECK(reached() == std::set<std::string>{"g0c", "g1c", "g2c", "g3c"});
+    CHECK(targets() == std::set<std::string>{"g0c", "g1c", "g2c", "g3c"});
     finish_attempt(0, attempt_status::lost);
     finish_attempt(1, attempt_status::not_executed);
     advance(300ms); // Hedges and retries are due.
-    CHECK(reached() == std::set<std::string>{"g0c", "g1c", "g2c", "g3c"});
+    CHECK(targets() == std::set<std::string>{"g0c", "g1c", "g2c", "g3c"});
     respond(2, 200, "");
     CHECK_FALSE(has_response(key));
     start("/plain/x", "id2");
-    CHECK(reached().contains("sc"));
-    CHECK_FALSE(reached().contains("sa"));
+    CHECK(targets().contains("sc"));
+    CHECK_FALSE(targets().contains("sa"));
 }
 
-TEST_CASE_FIXTURE(places_fixture,
+TEST_CASE_FIXTURE(placement_fixture,
                   "placement: without a backend server in the home regions a request is rejected at once and not run")
 {
     configure({region_name("nowhere")});
@@ -98,7 +98,7 @@
 }
 
 TEST_CASE_FIXTURE(
-    places_fixture,
+    placement_fixture,
     "placement: a shard without a backend server in the home regions is reported as missing in the response")
 {
     registry.remove(backend_id("g3a"), now);
@@ -112,19 +112,19 @@
     CHECK(finished[0].no_home >= 1);
 }
 
-TEST_CASE_FIXTURE(places_fixture,
+TEST_CASE_FIXTURE(placement_fixture,
                   "placement: an evacuated failure domain gets no new attempts until the evacuation stops")
 {
     configure({});
     placement.evacuated().start(domain_name("d"));
     start("/gather/x", "id");
-    CHECK(reached() == std::set<std::string>{"g0c", "g1c", "g2c", "g3c"});
+    CHECK(targets() == std::set<std::string>{"g0c", "g1c", "g2c", "g3c"});
     SUBCASE("attempts in flight there may finish")
     {
         CHECK(placement.evacuated().stop(domain_name("d"), now));
         sent.clear();
         auto const key = start("/plain/x", "id2");
-        REQUIRE(reached() == std::set<std::string>{"sa"});
+        REQUIRE(targets() == std::set<std::string>{"sa"});
         placement.evacuated().start(domain_name("d"));
         respond(0, 200, "body");
         CHECK(response_to(key).status == 200);
@@ -141,7 +141,7 @@
     }
 }
 
-TEST_CASE_FIXTURE(places_fixture,
+TEST_CASE_FIXTURE(placement_fixture,
                   "placement: a cold server gets no more than its limit in any second, and others get the rest")
 {
     configure({}, 4); // 4 x 1.5 + 5 = 11 per second, of which a share of 0.7 is used: 7.
@@ -163,7 +163,8 @@
     CHECK(cold.size() > 7);
 }
 
-TEST_CASE_FIXTURE(places_fixture, "placement: the servers of a domain whose evacuation has just stopped count as cold")
+TEST_CASE_FIXTURE(placement_fixture,
+                  "placement: the servers of a domain whose evacuation has just stopped count as cold")
 {
     configure({region_name("r")}, 4);
     placement.evacuated().start(domain_name("d"));
@@ -178,7 +179,7 @@
     CHECK(sent.size() == 8);
 }
 
-TEST_CASE_FIXTURE(places_fixture, "placement: the remaining warm-up in a response is applied to its backend server")
+TEST_CASE_FIXTURE(placement_fixture, "placement: the remaining warm-up in a response is applied to its backend server")
 {
     configure({region_name("r")}, 0.1); // 5 per second, of which 3 are used.
     start("/plain/x", "id");
@@ -195,7 +196,7 @@
     for (int const vms : {1, 7, 12, 87, 470}) {
         for (double const bound : {5.0, 6.5, 17.0, 305.0}) {
             for (int server = 0; server < 20; ++server) {
-                auto const all = shared_by(vms, "b" + std::to_string(server), bound);
+                auto const all = total_quota(vms, "b" + std::to_string(server), bound);
                 CHECK(all <= 0.7 * bound);
                 CHECK(all >= std::floor(0.7 * bound));
             }
@@ -242,32 +243,33 @@
             auto const region = "r" + std::to_string(i % 3);
             members["g/" + std::to_string(1000 + i)] = member_of("d" + std::to_string(i % 6), region, i);
         }
-        auto const regions_named = [&](member_map const& live, std::string const& from, region_set const& homes) {
+        auto const regions_of_addresses = [&](member_map const& live, std::string const& from,
+                                              region_set const& home_regions) {
             std::set<std::string> found;
             auto const active = choose_active(live, 20);
             address_query const asked{"h", region_name(from), domain_name("none")};
-            for (auto const& address : choose_addresses(live, active, asked, homes, random))
+            for (auto const& address : choose_addresses(live, active, asked, home_regions, random))
                 found.insert("r" + std::to_string(address.port % 3));
             return found;
         };
-        CHECK(regions_named(members, "r0", {region_name("r1")}) == std::set<std::string>{"r0"});
+        CHECK(regions_of_addresses(members, "r0", {region_name("r1")}) == std::set<std::string>{"r0"});
         auto without_r0 = members;
         std::erase_if(without_r0, [](auto const& each) { return each.second.region == region_name("r0"); });
-        CHECK(regions_named(without_r0, "r0", {region_name("r1")}) == std::set<std::string>{"r1"});
-        CHECK(regions_named(without_r0, "r0", {}) == std::set<std::string>{"r1", "r2"});
+        CHECK(regions_of_addresses(without_r0, "r0", {region_name("r1")}) == std::set<std::string>{"r1"});
+        CHECK(regions_of_addresses(without_r0, "r0", {}) == std::set<std::string>{"r1", "r2"});
         auto only_r2 = without_r0;
         std::erase_if(only_r2, [](auto const& each) { return each.second.region == region_name("r1"); });
-        CHECK(regions_named(only_r2, "r0", {region_name("r1")}) == std::set<std::string>{"r2"});
+        CHECK(regions_of_addresses(only_r2, "r0", {region_name("r1")}) == std::set<std::string>{"r2"});
     }
 }
 
 TEST_CASE("placement: the home regions of a host are those common to its routes, else those of any route")
 {
-    auto const route_of = [](std::string const& prefix, region_set homes) {
+    auto const route_of = [](std::string const& prefix, region_set home_regions) {
         route made;
         made.host = "h";
         made.prefix = prefix;
-        made.home_regions = std::move(homes);
+        made.home_regions = std::move(home_regions);
         return made;
     };
     region_name const a("a");
--- a/tests/test_quarantine.cpp
+++ b/tests/test_quarantine.cpp
@@ -37,7 +37,7 @@
 namespace {
 
 time_point const begin{std::chrono::seconds(1000)};
-request_digest const deadly("00000000000000000000000000000001");
+request_digest const crashing("00000000000000000000000000000001");
 request_digest const other("00000000000000000000000000000002");
 
 } // namespace
@@ -46,63 +46,63 @@
 {
     request_quarantine quarantine;
     CHECK(quarantine.empty());
-    quarantine.on_crashes(deadly, 1, begin);
-    CHECK(quarantine.status(deadly, begin) == quarantine_status::suspect);
+    quarantine.on_crashes(crashing, 1, begin);
+    CHECK(quarantine.status(crashing, begin) == quarantine_status::suspect);
     CHECK(quarantine.status(other, begin) == quarantine_status::clear);
-    CHECK_FALSE(quarantine.reaches_crash_threshold(deadly, 1));
-    CHECK(quarantine.reaches_crash_threshold(deadly, 2));
-    quarantine.on_response(deadly, begin);
-    CHECK(quarantine.status(deadly, begin) == quarantine_status::clear);
+    CHECK_FALSE(quarantine.reaches_crash_threshold(crashing, 1));
+    CHECK(quarantine.reaches_crash_threshold(crashing, 2));
+    quarantine.on_response(crashing, begin);
+    CHECK(quarantine.status(crashing, begin) == quarantine_status::clear);
 }
 
 TEST_CASE("quarantine: after it the request is tried again, and the next quarantine is twice as long")
 {
     request_quarantine quarantine;
     auto const first = quarantine_options{}.first_duration;
-    quarantine.on_crashes(deadly, 3, begin);
-    quarantine.start_quarantine(deadly, begin);
-    CHECK(quarantine.status(deadly, begin + first - milliseconds(1)) == quarantine_status::quarantined);
-    CHECK(quarantine.status(deadly, begin + first) == quarantine_status::suspect);
-    quarantine.on_crashes(deadly, 1, begin + first);
-    quarantine.start_quarantine(deadly, begin + first);
-    CHECK(quarantine.quarantine_left(deadly, begin + first) == 2 * first);
+    quarantine.on_crashes(crashing, 3, begin);
+    quarantine.start_quarantine(crashing, begin);
+    CHECK(quarantine.status(crashing, begin + first - milliseconds(1)) == quarantine_status::quarantined);
+    CHECK(quarantine.status(crashing, begin + first) == quarantine_status::suspect);
+    quarantine.on_crashes(crashing, 1, begin + first);
+    quarantine.start_quarantine(crashing, begin + first);
+    CHECK(quarantine.quarantine_left(crashing, begin + first) == 2 * first);
     for (int i = 0; i < 20; ++i)
-        quarantine.start_quarantine(deadly, begin + first);
-    CHECK(quarantine.quarantine_left(deadly, begin + first) == quarantine_options{}.max_duration);
-    CHECK(quarantine.status(deadly, begin + std::chrono::hours(1)) == quarantine_status::clear);
+        quarantine.start_quarantine(crashing, begin + first);
+    CHECK(quarantine.quarantine_left(crashing, begin + first) == quarantine_options{}.max_duration);
+    CHECK(quarantine.status(crashing, begin + std::chrono::hours(1)) == quarantine_status::clear);
 }
 
 TEST_CASE("quarantine: the crashes observed by all gateways are added up, and a quarantine applies at all of them")
 {
-    request_quarantine here;
-    request_quarantine there;
-    here.on_crashes(deadly, 1, begin);
-    there.on_crashes(deadly, 1, begin);
-    here.apply_peer_records("there", there.own_records(begin), begin);
-    CHECK(here.reaches_crash_threshold(deadly, 1));
-    here.on_crashes(deadly, 1, begin);
-    here.start_quarantine(deadly, begin);
-    there.apply_peer_records("here", decode_crash_records(encode_crash_records(here.own_records(begin))), begin);
-    CHECK(there.status(deadly, begin) == quarantine_status::quarantined);
-    CHECK(there.quarantine_left(deadly, begin) == quarantine_options{}.first_duration);
+    request_quarantine this_vm;
+    request_quarantine peer;
+    this_vm.on_crashes(crashing, 1, begin);
+    peer.on_crashes(crashing, 1, begin);
+    this_vm.apply_peer_records("there", peer.own_records(begin), begin);
+    CHECK(this_vm.reaches_crash_threshold(crashing, 1));
+    this_vm.on_crashes(crashing, 1, begin);
+    this_vm.start_quarantine(crashing, begin);
+    peer.apply_peer_records("here", decode_crash_records(encode_crash_records(this_vm.own_records(begin))), begin);
+    CHECK(peer.status(crashing, begin) == quarantine_status::quarantined);
+    CHECK(peer.quarantine_left(crashing, begin) == quarantine_options{}.first_duration);
     // Each gateway publishes only its own observations, so that no crash is counted twice.
-    CHECK(there.own_records(begin).size() == 1);
-    CHECK(there.own_records(begin)[0].crashes == 1);
-    CHECK(there.own_records(begin)[0].quarantines == 0);
+    CHECK(peer.own_records(begin).size() == 1);
+    CHECK(peer.own_records(begin)[0].crashes == 1);
+    CHECK(peer.own_records(begin)[0].quarantines == 0);
     // When a gateway's record is removed, its crashes no longer count, but the quarantine stays.
-    there.apply_peer_records("here", {}, begin);
-    CHECK(there.status(deadly, begin) == quarantine_status::quarantined);
-    CHECK_FALSE(there.reaches_crash_threshold(deadly, 1));
+    peer.apply_peer_records("here", {}, begin);
+    CHECK(peer.status(crashing, begin) == quarantine_status::quarantined);
+    CHECK_FALSE(peer.reaches_crash_threshold(crashing, 1));
 }
 
 TEST_CASE("quarantine: a gateway that restarts restores its own records")
 {
     request_quarantine before;
-    before.on_crashes(deadly, 3, begin);
-    before.start_quarantine(deadly, begin);
+    before.on_crashes(crashing, 3, begin);
+    before.start_quarantine(crashing, begin);
     request_quarantine after;
     after.restore_own_records(before.own_records(begin), begin);
-    CHECK(after.status(deadly, begin) == quarantine_status::quarantined);
+    CHECK(after.status(crashing, begin) == quarantine_status::quarantined);
     CHECK(after.own_records(begin) == before.own_records(begin));
 }
 
@@ -111,12 +111,12 @@
     quarantine_options options;
     options.max_requests = 8;
     request_quarantine quarantine(options);
-    quarantine.on_crashes(deadly, 1, begin);
-    quarantine.start_trial(deadly);
+    quarantine.on_crashes(crashing, 1, begin);
+    quarantine.start_trial(crashing);
     for (int i = 0; i < 100; ++i)
         quarantine.on_crashes(request_digest("d" + std::to_string(i)), 1, begin + milliseconds(i + 1));
     CHECK(quarantine.own_records(begin).size() <= options.max_requests);
-    CHECK(quarantine.on_trial(deadly));
+    CHECK(quarantine.on_trial(crashing));
 }
 
 TEST_CASE("quarantine: records of another format are rejected")
@@ -127,22 +127,23 @@
 
 TEST_CASE("quarantine: a response at one gateway ends the quarantine at all of them")
 {
-    request_quarantine here;
-    request_quarantine there;
-    here.on_crashes(deadly, 3, begin);
-    here.start_quarantine(deadly, begin);
-    there.apply_peer_records("here", here.own_records(begin), begin);
-    there.on_response(deadly, begin);
-    int told = 0;
-    here.on_change([&told](request_quarantine::change const& change) { told += change.own_record_changed ? 1 : 0; });
-    here.apply_peer_records("there", decode_crash_records(encode_crash_records(there.own_records(begin))), begin);
-    CHECK(here.status(deadly, begin) == quarantine_status::clear);
-    CHECK(here.own_records(begin).empty());
-    CHECK(told == 1);
+    request_quarantine this_vm;
+    request_quarantine peer;
+    this_vm.on_crashes(crashing, 3, begin);
+    this_vm.start_quarantine(crashing, begin);
+    peer.apply_peer_records("here", this_vm.own_records(begin), begin);
+    peer.on_response(crashing, begin);
+    int changes = 0;
+    this_vm.on_change(
+        [&changes](request_quarantine::change const& change) { changes += change.own_record_changed ? 1 : 0; });
+    this_vm.apply_peer_records("there", decode_crash_records(encode_crash_records(peer.own_records(begin))), begin);
+    CHECK(this_vm.status(crashing, begin) == quarantine_status::clear);
+    CHECK(this_vm.own_records(begin).empty());
+    CHECK(changes == 1);
     // New crashes count again.
-    here.on_crashes(deadly, 3, begin);
-    here.start_quarantine(deadly, begin);
-    there.apply_peer_records("here", here.own_records(begin), begin);
-    CHECK(there.status(deadly, begin) == quarantine_status::quarantined);
-    CHECK(there.own_records(begin).empty());
+    this_vm.on_crashes(crashing, 3, begin);
+    this_vm.start_quarantine(crashing, begin);
+    peer.apply_peer_records("here", this_vm.own_records(begin), begin);
+    CHECK(peer.status(crashing, begin) == quarantine_status::quarantined);
+    CHECK(peer.own_records(begin).empty());
 }
--- a/tests/test_routing.cpp
+++ b/tests/test_routing.cpp
@@ -126,10 +126,10 @@
                                 {gathering("first", 1, {"a", "b"}), gathering("second", 2, {"a", "b"}),
                                  gathering("alone", 2, {"a", "c"}), plain_route("plain", "h", "/plain/", "s")},
                                 {}, {});
-    std::vector<bool> urgent;
+    std::vector<bool> highest;
     for (auto const& via : config.routes())
-        urgent.push_back(via.highest_priority);
-    CHECK(urgent == std::vector<bool>{true, false, true, true});
+        highest.push_back(via.highest_priority);
+    CHECK(highest == std::vector<bool>{true, false, true, true});
 }
 
 TEST_CASE("routing: sample weights grow with the time since the last sample, and the decay factor halves per half-life")
