--- a/include/cornelspring/dispatch.hpp
+++ b/include/cornelspring/dispatch.hpp
@@ -103,7 +103,7 @@
  * whether there is a connection to a server. @param random random source for the order. @param now current time.
  */
 std::vector<std::shared_ptr<backend_server>>
-backends_to_preconnect(serving_config const& config, backend_registry& registry, place_rules const& places,
+backends_to_preconnect(serving_config const& config, backend_registry& registry, placement_rules const& placement,
                        std::function<bool(std::shared_ptr<backend_server> const&)> const& connected,
                        std::mt19937_64& random, time_point now);
 
@@ -138,9 +138,9 @@
 
 /** Result of an attempt. */
 struct attempt_result {
-    attempt_end outcome = attempt_end::lost; ///< Outcome.
-    http_response response;                  ///< The response, if the outcome is answered or not_executed.
-    std::string detail;                      ///< Cause of a failure, for logs.
+    attempt_status outcome = attempt_status::lost; ///< Outcome.
+    http_response response;                        ///< The response, if the outcome is answered or not_executed.
+    std::string detail;                            ///< Cause of a failure, for logs.
 };
 
 /** Time that a request spends outside the dispatcher: before it is read and on the network. */
@@ -278,7 +278,8 @@
      *  @param places placement rules. @param quarantine requests that crash backend servers. @param hooks callbacks.
      *  @param seed random seed. */
     dispatcher(dispatcher_options options, config_holder const& configs, backend_registry& registry,
-               place_rules const& places, request_quarantine& quarantine, dispatcher_hooks hooks, std::uint64_t seed);
+               placement_rules const& placement, request_quarantine& quarantine, dispatcher_hooks hooks,
+               std::uint64_t seed);
     ~dispatcher();
     /** Handles a complete request. @param key unused key for it. @param message as received. @param timing its time
      *  outside the dispatcher. @param caller address of the caller. @param now current time. */
--- a/src/dispatch/dispatcher_arrival.cpp
+++ b/src/dispatch/dispatcher_arrival.cpp
@@ -77,11 +77,11 @@
         return;
     }
     auto const quarantine_state = check_quarantine(request, now);
-    if (quarantine_state == request_standing::quarantined) {
+    if (quarantine_state == quarantine_status::quarantined) {
         respond_immediately(key, request.summary, quarantine_rejection(request, now), "quarantined");
         return;
     }
-    bool const suspect = quarantine_state == request_standing::suspect;
+    bool const suspect = quarantine_state == quarantine_status::suspect;
     if (suspect && quarantine.on_trial(request.summary.digest)) {
         auto const text = "this request is being tried at one backend server, after others crashed";
         respond_immediately(key, request.summary, rejection(text, options.retry_after_s), "on_trial");
@@ -224,16 +224,16 @@
     return out;
 }
 
-selection_scope dispatcher::impl::scope(request_state const& request, shard_state const& shard) const
+selection_context dispatcher::impl::scope(request_state const& request, shard_state const& shard) const
 {
-    return {options.selection, places, {request.matched_route->homes, *shard.warmup}};
+    return {options.selection, placement, {request.matched_route->home_regions, *shard.warmup}};
 }
 
-void dispatcher::impl::count_miss(request_summary& summary, selection_miss miss)
+void dispatcher::impl::count_miss(request_summary& summary, selection_failure miss)
 {
-    if (miss == selection_miss::away) ++summary.no_home;
-    if (miss == selection_miss::evacuated) ++summary.evacuated;
-    if (miss == selection_miss::cold) ++summary.cold;
+    if (miss == selection_failure::outside_home_regions) ++summary.no_home;
+    if (miss == selection_failure::evacuated) ++summary.evacuated;
+    if (miss == selection_failure::cold) ++summary.cold;
 }
 
 /**
@@ -247,17 +247,17 @@
     std::size_t blocked = 0;
     double longest = options.retry_after_s;
     for (auto const& shard : request.shards) {
-        auto const miss = why_no_work(*shard.group, scope(request, shard), now);
-        if (miss != selection_miss::none) {
+        auto const miss = unavailability_reason(*shard.group, scope(request, shard), now);
+        if (miss != selection_failure::none) {
             count_miss(request.summary, miss);
             ++blocked;
             continue;
         }
-        auto const ahead = static_cast<double>(shard.group->waiting.size());
+        auto const ahead = static_cast<double>(shard.group->wait_queue.size());
         if (ahead == 0) continue;
         double const lanes =
             std::max(1.0, static_cast<double>(shard.group->backends.size()) * connection_limit(request, shard));
-        double const wait_s = ahead * shard.group->usual_latency_ms / lanes / 1000.0;
+        double const wait_s = ahead * shard.group->average_latency_ms / lanes / 1000.0;
         longest = std::max(longest, wait_s);
         if (wait_s > std::chrono::duration<double>(request.matched_route->goal).count()) ++blocked;
     }
@@ -269,7 +269,7 @@
     std::vector<double> response_rates;
     response_rates.reserve(request.shards.size());
     for (auto const& shard : request.shards)
-        response_rates.push_back(shard.group->outlook.answered_share(now));
+        response_rates.push_back(shard.group->availability.response_rate(now));
     return coverable_share(std::move(response_rates), request.needed);
 }
 
@@ -285,7 +285,7 @@
     query.retried = options.retries_last && request.retried;
     if (options.by_coverage) query.max_share = coverable(request, now);
     request.summary.coverable_share = query.max_share;
-    query.highest_priority = !options.by_priority || request.matched_route->most_urgent;
+    query.highest_priority = !options.by_priority || request.matched_route->highest_priority;
     auto const decision = control.admit(query, std::uniform_real_distribution<double>(0, 1)(random), now);
     request.summary.admission_wait_ms = decision.wait_ms;
     request.summary.admitted_share = decision.share;
--- a/src/dispatch/dispatcher_attempts.cpp
+++ b/src/dispatch/dispatcher_attempts.cpp
@@ -44,24 +44,25 @@
                       std::max(longest, options.hedge_min));
 }
 
-selection_miss dispatcher::impl::send(request_state& request, std::size_t index, attempt_reason reason, time_point now)
+selection_failure dispatcher::impl::send(request_state& request, std::size_t index, attempt_reason reason,
+                                         time_point now)
 {
     auto& shard = request.shards[index];
     auto const inputs = scope(request, shard);
     auto const chosen =
         choose_backend(*shard.group, shard.tried, connection_limit(request, shard), inputs, random, now);
     if (!chosen.target) {
-        if (reason != attempt_reason::hedge) count_miss(request.summary, chosen.miss);
-        return chosen.miss;
+        if (reason != attempt_reason::hedge) count_miss(request.summary, chosen.failure);
+        return chosen.failure;
     }
     // A hedge to a backend server that may be stalled too would only add load.
     if (reason == attempt_reason::hedge && (chosen.suspect || !hedge_worthwhile(request, shard, chosen, now))) {
-        return selection_miss::no_gain;
+        return selection_failure::no_gain;
     }
     bool const extra = shard.maybe_received > 0;
-    if (extra && !shard.group->budget.take(options.budget, vms, now)) return selection_miss::no_budget;
+    if (extra && !shard.group->budget.try_consume(options.budget, vms, now)) return selection_failure::no_budget;
     submit(request, index, chosen, reason, now);
-    return selection_miss::none;
+    return selection_failure::none;
 }
 
 void dispatcher::impl::submit(request_state& request, std::size_t index, selection const& chosen, attempt_reason reason,
@@ -72,7 +73,8 @@
     outgoing_attempt attempt;
     attempt.id = id;
     attempt.target = chosen.target;
-    attempt.head = request.head_bytes + options.names.target_backend + ": " + chosen.target->entry.id.value() + "\r\n";
+    attempt.head =
+        request.head_bytes + options.names.target_backend + ": " + chosen.target->registration.id.value() + "\r\n";
     attempt.body = request.message.body;
     attempt.caller_deadline = request.deadline + deadline_margin;
     attempt.request_id = request.summary.request_id;
@@ -80,10 +82,10 @@
     attempt.idempotent = request.matched_route->kind == route_kind::idempotent;
     attempts.emplace(id.value(),
                      open_attempt{request.key, index, shard.group, chosen.target,
-                                  &request.latencies->of(chosen.target->where), now, request.sequential, false});
+                                  &request.latencies->of(chosen.target->distance), now, request.sequential, false});
     chosen.target->load.on_sent();
-    places.on_sent(chosen.target->place, scope(request, shard).asked, now);
-    shard.tried.push_back(chosen.target->entry.id);
+    placement.on_sent(chosen.target->placement, scope(request, shard).requirements, now);
+    shard.tried.push_back(chosen.target->registration.id);
     shard.in_flight.push_back(id);
     ++shard.sends;
     ++shard.maybe_received;
@@ -91,7 +93,7 @@
     ++request.summary.attempts;
     if (request.sequential) ++request.sequential_runs;
     if (reason != attempt_reason::first) record_extra_attempt(request, *shard.group, chosen, reason, now);
-    schedule_hedge(request, shard, chosen.target->where, now);
+    schedule_hedge(request, shard, chosen.target->distance, now);
     hooks.send(std::move(attempt));
 }
 
@@ -114,23 +116,23 @@
     if (summary.hedges + summary.retries > max_described_extras) return;
     auto const at_ms = std::chrono::duration_cast<milliseconds>(now - request.arrived_at).count();
     auto const rounded = [](double value) { return std::to_string(std::llround(value)); };
-    summary.extra_attempts += std::string(hedged ? "hedge:" : "retry:") + chosen.target->entry.id.value() +
+    summary.extra_attempts += std::string(hedged ? "hedge:" : "retry:") + chosen.target->registration.id.value() +
                               ":at_ms=" + std::to_string(at_ms) + ",expected_ms=" + rounded(chosen.wait_ms) +
                               ",suspect=" + (chosen.suspect ? "1" : "0") +
-                              ",budget=" + rounded(group.budget.left(options.budget, vms, now)) + " ";
+                              ",budget=" + rounded(group.budget.remaining(options.budget, vms, now)) + " ";
 }
 
 void dispatcher::impl::send_first_attempt(request_state& request, std::size_t index, time_point now)
 {
     switch (send(request, index, attempt_reason::first, now)) {
-    case selection_miss::none: return;
-    case selection_miss::no_room: enqueue_shard(request, index); return;
-    case selection_miss::no_budget:
-    case selection_miss::no_gain:
-    case selection_miss::no_backend:
-    case selection_miss::away:
-    case selection_miss::evacuated:
-    case selection_miss::cold:
+    case selection_failure::none: return;
+    case selection_failure::no_room: enqueue_shard(request, index); return;
+    case selection_failure::no_budget:
+    case selection_failure::no_gain:
+    case selection_failure::no_backend:
+    case selection_failure::outside_home_regions:
+    case selection_failure::evacuated:
+    case selection_failure::cold:
         request.shards[index].failed = true;
         ++request.failed;
         return;
@@ -141,24 +143,24 @@
 {
     auto& shard = request.shards[index];
     shard.queued = true;
-    shard.group->waiting.emplace(request.matched_route->priority, service_group::waiter{request.key.value(), index});
+    shard.group->wait_queue.emplace(request.matched_route->priority, service_group::waiter{request.key.value(), index});
 }
 
 void dispatcher::impl::send_queued(service_group& group, time_point now)
 {
-    while (!group.waiting.empty()) {
-        auto const next = group.waiting.begin()->second;
+    while (!group.wait_queue.empty()) {
+        auto const next = group.wait_queue.begin()->second;
         auto const found = requests.find(next.request);
         if (found == requests.end() || !found->second->shards[next.shard].queued) {
-            group.waiting.erase(group.waiting.begin());
+            group.wait_queue.erase(group.wait_queue.begin());
             continue;
         }
         auto& request = *found->second;
         auto const miss = send(request, next.shard, attempt_reason::first, now);
-        if (miss == selection_miss::no_room) return;
-        group.waiting.erase(group.waiting.begin());
+        if (miss == selection_failure::no_room) return;
+        group.wait_queue.erase(group.wait_queue.begin());
         request.shards[next.shard].queued = false;
-        if (miss != selection_miss::none) {
+        if (miss != selection_failure::none) {
             fail_shard(request, next.shard, now);
             continue;
         }
@@ -204,11 +206,11 @@
     for (auto const id : shard.in_flight) {
         auto const& attempt = attempts.at(id.value());
         auto const ran = std::chrono::duration<double, std::milli>(now - attempt.sent_at).count();
-        if (ran > stall_factor * shard.group->usual_latency_ms) attempt.target->load.on_stalled(now);
+        if (ran > stall_factor * shard.group->average_latency_ms) attempt.target->load.on_stalled(now);
     }
     shard.hedge_at = time_point::max();
     auto const miss = send(request, index, attempt_reason::hedge, now);
-    if (miss != selection_miss::none) {
+    if (miss != selection_failure::none) {
         ++request.summary.hedges_denied;
         request.summary.hedge_denied_reason = to_string(miss);
         shard.hedge_at = now + hedge_delay(request, proximity::other_region);
@@ -228,12 +230,12 @@
         return;
     }
     auto miss = send(request, index, attempt_reason::retry, now);
-    if (miss == selection_miss::none) return;
-    if (miss == selection_miss::no_room) {
+    if (miss == selection_failure::none) return;
+    if (miss == selection_failure::no_room) {
         enqueue_shard(request, index);
         return;
     }
-    if (shard.tried.empty() || miss == selection_miss::no_budget) {
+    if (shard.tried.empty() || miss == selection_failure::no_budget) {
         fail_shard(request, index, now);
         return;
     }
@@ -248,27 +250,27 @@
     auto const attempt = found->second;
     attempts.erase(found);
     auto const took = std::chrono::duration_cast<std::chrono::microseconds>(now - attempt.sent_at);
-    attempt.target->load.on_ended(result.outcome, took, now);
-    if (result.outcome == attempt_end::wrong_server) attempt.target->gone = true;
-    if (result.outcome == attempt_end::answered) update_warmup(*attempt.target, result.response, now);
-    if (result.outcome == attempt_end::answered) {
+    attempt.target->load.on_finished(result.outcome, took, now);
+    if (result.outcome == attempt_status::wrong_server) attempt.target->removed = true;
+    if (result.outcome == attempt_status::answered) update_warmup(*attempt.target, result.response, now);
+    if (result.outcome == attempt_status::answered) {
         attempt.latencies->add(took);
         double const ms = static_cast<double>(took.count()) / 1000.0;
-        attempt.group->usual_latency_ms += usual_latency_weight * (ms - attempt.group->usual_latency_ms);
+        attempt.group->average_latency_ms += usual_latency_weight * (ms - attempt.group->average_latency_ms);
     }
     if (auto const owner = requests.find(attempt.request.value()); owner != requests.end() && !attempt.observed) {
         auto& request = *owner->second;
         std::erase(request.shards[attempt.shard].in_flight, id);
         if (attempt.sequential && !may_have_run(result.outcome)) --request.sequential_runs;
-        if (result.outcome != attempt_end::answered && ++request.summary.failed_attempts <= max_described_failures) {
+        if (result.outcome != attempt_status::answered && ++request.summary.failed_attempts <= max_described_failures) {
             request.summary.failure_details +=
-                attempt.target->entry.id.value() + ":" + to_string(result.outcome) + ":" + result.detail + " ";
+                attempt.target->registration.id.value() + ":" + to_string(result.outcome) + ":" + result.detail + " ";
         }
-        if (result.outcome == attempt_end::answered) {
+        if (result.outcome == attempt_status::answered) {
             bool const held = is_usable(request, result.response) && on_usable_response(request, now);
             on_response(request, attempt.shard, std::move(result.response), now);
             if (held) send_held_shards(request, now);
-        } else if (result.outcome != attempt_end::disconnected || on_disconnect(request, now)) {
+        } else if (result.outcome != attempt_status::disconnected || on_disconnect(request, now)) {
             on_failure(request, attempt.shard, result, now);
         }
         if (request.sequential) send_next_sequential(request, now);
@@ -279,7 +281,8 @@
 void dispatcher::impl::update_warmup(backend_server& server, http_response const& response, time_point now) const
 {
     if (options.names.warmup_left.empty()) return;
-    if (auto const left = parse_ms(response.header(options.names.warmup_left))) server.place.cold_until = now + *left;
+    if (auto const left = parse_ms(response.header(options.names.warmup_left)))
+        server.placement.cold_until = now + *left;
 }
 
 bool dispatcher::impl::is_usable(request_state const& request, http_response const& response) const
@@ -310,7 +313,7 @@
 {
     auto& shard = request.shards[index];
     if (!may_have_run(result.outcome)) --shard.maybe_run;
-    if (result.outcome == attempt_end::not_sent) --shard.maybe_received;
+    if (result.outcome == attempt_status::not_sent) --shard.maybe_received;
     if (shard.done || shard.failed || !shard.in_flight.empty()) return;
     retry(request, index, now);
     schedule_next(request, now);
@@ -321,7 +324,7 @@
 {
     auto& shard = request.shards[index];
     shard.done = true;
-    shard.group->outlook.on_outcome(true, now);
+    shard.group->availability.on_outcome(true, now);
     shard.hedge_at = shard.retry_at = time_point::max();
     ++request.done;
     if (2 * request.done >= request.shards.size() && !request.half_responded) {
@@ -341,7 +344,7 @@
     auto& shard = request.shards[index];
     if (shard.done || shard.failed) return;
     shard.failed = true;
-    shard.group->outlook.on_outcome(false, now);
+    shard.group->availability.on_outcome(false, now);
     shard.hedge_at = shard.retry_at = time_point::max();
     ++request.failed;
     finish_if_decided(request, now);
--- a/src/dispatch/dispatcher_crash_suspects.cpp
+++ b/src/dispatch/dispatcher_crash_suspects.cpp
@@ -32,15 +32,15 @@
         (message.method + " " + message.header("host") + message.path).substr(0, max_logged_line_length);
 }
 
-request_standing dispatcher::impl::check_quarantine(request_state& request, time_point now)
+quarantine_status dispatcher::impl::check_quarantine(request_state& request, time_point now)
 {
-    if (quarantine.empty()) return request_standing::clear;
+    if (quarantine.empty()) return quarantine_status::clear;
     auto const digest = digest_of(request.message);
-    auto const quarantine_state = quarantine.standing(digest, now);
-    if (quarantine_state == request_standing::clear) return quarantine_state;
+    auto const quarantine_state = quarantine.status(digest, now);
+    if (quarantine_state == quarantine_status::clear) return quarantine_state;
     if (safe_requests.contains(request.message, now)) {
-        quarantine.on_answered(digest, now);
-        return request_standing::clear;
+        quarantine.on_response(digest, now);
+        return quarantine_status::clear;
     }
     set_digest(request);
     return quarantine_state;
@@ -56,7 +56,7 @@
 
 void dispatcher::impl::start_trial(request_state& request)
 {
-    quarantine.begin_trial(request.summary.digest);
+    quarantine.start_trial(request.summary.digest);
     request.on_trial = true;
     switch_to_sequential(request);
 }
@@ -83,7 +83,7 @@
     ++request.summary.disconnects;
     if (request.usable_received) return true;
     set_digest(request);
-    bool const convicted = quarantine.convicts(request.summary.digest, request.summary.disconnects);
+    bool const convicted = quarantine.reaches_crash_threshold(request.summary.digest, request.summary.disconnects);
     if (request.sequential_runs > 0 && convicted && !safe_requests.contains(request.message, now)) {
         finish(request.key, failure_response(request, false), "crashed_servers", now);
         return false;
@@ -158,7 +158,7 @@
     request.usable_received = true;
     if (!std::exchange(request.sequential, false)) return false;
     set_digest(request);
-    quarantine.on_answered(request.summary.digest, now);
+    quarantine.on_response(request.summary.digest, now);
     return true;
 }
 
@@ -170,7 +170,7 @@
         bool const held = std::exchange(shard.held, false);
         if (!needs_response(shard)) continue;
         if (!shard.in_flight.empty())
-            schedule_hedge(request, shard, attempts.at(shard.in_flight.back().value()).target->where, now);
+            schedule_hedge(request, shard, attempts.at(shard.in_flight.back().value()).target->distance, now);
         if (held) send_shard(request, i, now);
     }
     if (!requests.contains(key)) return;
@@ -185,18 +185,18 @@
 void dispatcher::impl::update_quarantine(request_state& request, time_point now)
 {
     auto const& summary = request.summary;
-    if (request.on_trial) quarantine.end_trial(summary.digest);
+    if (request.on_trial) quarantine.finish_trial(summary.digest);
     if (request.usable_received) {
         safe_requests.add(request.message, now);
         // Peer gateways may have started to suspect the request while it was in flight.
-        if (!quarantine.empty()) quarantine.on_answered(digest_of(request.message), now);
+        if (!quarantine.empty()) quarantine.on_response(digest_of(request.message), now);
     }
     bool const no_evidence = summary.disconnects == 0 && !request.on_trial;
     if (request.usable_received || no_evidence || safe_requests.contains(request.message, now)) return;
     set_digest(request);
     if (summary.disconnects > 0) quarantine.on_crashes(summary.digest, summary.disconnects, now);
-    if (request.sequential_runs > 0 && quarantine.convicts(summary.digest, 0)) {
-        quarantine.convict(summary.digest, now);
+    if (request.sequential_runs > 0 && quarantine.reaches_crash_threshold(summary.digest, 0)) {
+        quarantine.start_quarantine(summary.digest, now);
     }
 }
 
--- a/src/dispatch/dispatcher_impl.hpp
+++ b/src/dispatch/dispatcher_impl.hpp
@@ -18,8 +18,8 @@
     dispatcher_options options;                   ///< Settings.
     config_holder const& configs;                 ///< Configuration in force.
     backend_registry& registry;                   ///< Backend servers.
-    place_rules const& places;                    ///< Placement rules.
-    recent_answers safe_requests;                 ///< Requests known not to crash backend servers.
+    placement_rules const& placement;             ///< Placement rules.
+    recent_responses safe_requests;               ///< Requests known not to crash backend servers.
     request_quarantine& quarantine;               ///< Requests that crash backend servers.
     dispatcher_hooks hooks;                       ///< Callbacks.
     std::mt19937_64 random;                       ///< Tie breaks and jitter.
@@ -37,9 +37,9 @@
     /** Requests that finished during the current public call. Callers up the stack may still refer to them. */
     std::vector<std::unique_ptr<request_state>> finished;
 
-    impl(dispatcher_options o, config_holder const& c, backend_registry& r, place_rules const& p, request_quarantine& q,
-         dispatcher_hooks h, std::uint64_t seed)
-        : options(std::move(o)), configs(c), registry(r), places(p), quarantine(q), hooks(std::move(h)), random(seed)
+    impl(dispatcher_options o, config_holder const& c, backend_registry& r, placement_rules const& p,
+         request_quarantine& q, dispatcher_hooks h, std::uint64_t seed)
+        : options(std::move(o)), configs(c), registry(r), placement(p), quarantine(q), hooks(std::move(h)), random(seed)
     {
     }
 
@@ -82,9 +82,9 @@
     /** @return the expected wait in seconds if too few shards have a free connection, else 0. */
     double blocked_wait_s(request_state& request, time_point now) const;
     /** @return the inputs for the choice of a backend server. */
-    selection_scope scope(request_state const& request, shard_state const& shard) const;
+    selection_context scope(request_state const& request, shard_state const& shard) const;
     /** Counts a failed choice of a backend server in the summary, by cause. */
-    static void count_miss(request_summary& summary, selection_miss miss);
+    static void count_miss(request_summary& summary, selection_failure miss);
     /** @return coverable_share() for the shards of the request. */
     static double coverable(request_state const& request, time_point now);
     /** @return whether admission control lets a query start. */
@@ -100,7 +100,7 @@
     /** Sets the digest of a request, for the quarantine and the log. */
     static void set_digest(request_state& request);
     /** @return whether an arriving request is clear, a suspect or quarantined. */
-    request_standing check_quarantine(request_state& request, time_point now);
+    quarantine_status check_quarantine(request_state& request, time_point now);
     /** @return the response that rejects a quarantined request, with the remaining quarantine time as Retry-After. */
     http_response quarantine_rejection(request_state const& request, time_point now) const;
     /** Starts the trial of a suspect: its attempts are sent one at a time. */
@@ -135,7 +135,7 @@
     /** Schedules the hedge of an attempt in flight at a backend server at distance @p where. */
     void schedule_hedge(request_state const& request, shard_state& shard, proximity where, time_point now) const;
     /** Chooses a backend server and sends an attempt. @return the reason if none was sent. */
-    selection_miss send(request_state& request, std::size_t index, attempt_reason reason, time_point now);
+    selection_failure send(request_state& request, std::size_t index, attempt_reason reason, time_point now);
     /** Sends an attempt to a chosen backend server. */
     void submit(request_state& request, std::size_t index, selection const& chosen, attempt_reason reason,
                 time_point now);
--- a/src/gateway/gateway_connections.cpp
+++ b/src/gateway/gateway_connections.cpp
@@ -24,7 +24,7 @@
         return pool->skip_preconnect(server);
     };
     bool const idle = preconnect_queue.empty();
-    preconnect_queue = backends_to_preconnect(*configs.current(), registry, places, connected, random, loop.now());
+    preconnect_queue = backends_to_preconnect(*configs.current(), registry, placement, connected, random, loop.now());
     if (idle) open_preconnects();
 }
 
--- a/src/gateway/gateway_impl.hpp
+++ b/src/gateway/gateway_impl.hpp
@@ -26,7 +26,7 @@
     event_loop loop;                      ///< The I/O thread.
     config_holder configs;                ///< Current configuration.
     backend_registry registry;            ///< Backend servers.
-    place_rules places;                   ///< Placement rules.
+    placement_rules placement;            ///< Placement rules.
     request_quarantine quarantine;        ///< Requests that crash backend servers.
     member_map members;                   ///< Gateways registered in the store.
     std::set<std::string> active;         ///< Store keys of the gateways whose addresses callers receive.
@@ -61,7 +61,7 @@
 
     impl(gateway_settings s, store_codec c)
         : settings(std::move(s)), codec(std::move(c)), registry(settings.location, lapse_grace),
-          places(settings.warmup), followers(mirror, follower_hooks()), log(loop),
+          placement(settings.warmup), followers(mirror, follower_hooks()), log(loop),
           peer_codec(make_peer_codec(member_key())), source_calls(loop, codec, peer_codec)
     {
         loop.set_uplink(settings.uplink_bytes_per_s);
@@ -107,7 +107,7 @@
     /** Records whether a call to the store succeeded. */
     void on_store_call(bool ok);
     /** Handles the end of a store outage. */
-    void on_store_back();
+    void on_store_recovered();
     /** Handles the first full read after the store was restored from an older copy. @param differences from the local
      *  copy. @param known position of the local copy before. @param as_of position of the read. @return the differences
      *  to apply at once: removals are held back for lapse_grace. */
--- a/src/gateway/gateway_log.cpp
+++ b/src/gateway/gateway_log.cpp
@@ -240,7 +240,7 @@
     if (!allowed(m_quarantine, quarantine_lines_per_s)) return;
     write({{"event", "quarantine"},
            {"digest", change.digest.value()},
-           {"standing", to_string(change.standing)},
+           {"standing", to_string(change.status)},
            {"crashes", change.crashes},
            {"left_ms", remaining.count()},
            {"source", change.source.empty() ? "here" : change.source}});
--- a/src/gateway/gateway_metrics.hpp
+++ b/src/gateway/gateway_metrics.hpp
@@ -17,7 +17,7 @@
     /** Counts a finished request. @param summary its outcome. */
     void on_request(request_summary const& summary);
     /** Counts a finished attempt. @param end its outcome. */
-    void on_attempt(attempt_end end);
+    void on_attempt(attempt_status end);
     /** Values of the gauges. */
     struct gauges {
         std::size_t open_requests = 0;      ///< Requests in flight.
--- a/src/quarantine/crash_records.cpp
+++ b/src/quarantine/crash_records.cpp
@@ -1,4 +1,4 @@
-/** @file crash_records.cpp What gateways tell each other of requests under which backend servers ended. */
+/** @file crash_records.cpp Encoding of the crash records that gateways exchange through the store. */
 #include <cornelspring/quarantine.hpp>
 
 #include <nlohmann/json.hpp>
@@ -11,7 +11,7 @@
     for (auto const& record : records) {
         list.push_back({{"digest", record.digest.value()},
                         {"crashes", record.crashes},
-                        {"convictions", record.convictions},
+                        {"convictions", record.quarantines},
                         {"quarantine_left_ms", record.quarantine_left.count()},
                         {"answered", record.answered}});
     }
--- a/src/quarantine/request_digest.cpp
+++ b/src/quarantine/request_digest.cpp
@@ -1,4 +1,4 @@
-/** @file request_digest.cpp What makes two requests the same. */
+/** @file request_digest.cpp Digests of requests, and which got a response recently. */
 #include <cornelspring/quarantine.hpp>
 
 #include <openssl/evp.h>
@@ -8,20 +8,20 @@
 namespace cornelspring {
 namespace {
 
-/** Bytes of a digest that are kept: enough that no two requests share one by chance. */
+/** Bytes of a digest: enough that two requests do not share one by chance. */
 constexpr std::size_t digest_bytes = 16;
 
-/** An answer speaks for a request so long: servers may have changed since. */
-constexpr milliseconds lately{30000};
+/** How long a response counts as recent: backend servers may have changed since. */
+constexpr milliseconds recent_period{30000};
 
-/** Appends @p part with its length, so that no two lists of parts make up the same text. */
+/** Appends @p part with its length, so that different lists of parts give different texts. */
 void append_part(std::string& text, std::string_view part)
 {
     text.append(std::to_string(part.size())).append(":").append(part);
 }
 
-/** @return what backend servers are asked, as one text. */
-std::string question_of(http_request const& request)
+/** @return the content of the request that its digest covers, as one text. */
+std::string content_of(http_request const& request)
 {
     std::string text;
     for (auto const& part :
@@ -34,7 +34,7 @@
 
 request_digest digest_of(http_request const& request)
 {
-    auto const text = question_of(request);
+    auto const text = content_of(request);
     std::array<unsigned char, EVP_MAX_MD_SIZE> hash{};
     unsigned int size = 0;
     EVP_Digest(text.data(), text.size(), hash.data(), &size, EVP_sha256(), nullptr);
@@ -45,17 +45,17 @@
     return request_digest(std::move(hex));
 }
 
-void recent_answers::add(http_request const& request, time_point now)
+void recent_responses::add(http_request const& request, time_point now)
 {
-    auto const key = std::hash<std::string>()(question_of(request));
-    m_answered[key % places] = {key, now};
+    auto const key = std::hash<std::string>()(content_of(request));
+    m_responses[key % slot_count] = {key, now};
 }
 
-bool recent_answers::contains(http_request const& request, time_point now) const
+bool recent_responses::contains(http_request const& request, time_point now) const
 {
-    auto const key = std::hash<std::string>()(question_of(request));
-    auto const& found = m_answered[key % places];
-    return found.key == key && now < found.at + lately;
+    auto const key = std::hash<std::string>()(content_of(request));
+    auto const& found = m_responses[key % slot_count];
+    return found.key == key && now < found.at + recent_period;
 }
 
 } // namespace cornelspring
--- a/tests/test_coverage_admission.cpp
+++ b/tests/test_coverage_admission.cpp
@@ -89,16 +89,16 @@
 {
     using std::chrono::milliseconds;
     auto const start = time_point{} + std::chrono::seconds(100);
-    shard_outlook outlook;
-    CHECK(outlook.answered_share(start) == 1.0);
+    shard_availability outlook;
+    CHECK(outlook.response_rate(start) == 1.0);
     outlook.on_outcome(false, start);
-    CHECK(outlook.answered_share(start) == doctest::Approx(0.5));
-    CHECK(outlook.answered_share(start + milliseconds(10000)) > 0.99);
+    CHECK(outlook.response_rate(start) == doctest::Approx(0.5));
+    CHECK(outlook.response_rate(start + milliseconds(10000)) > 0.99);
     for (int i = 1; i <= 5; ++i)
         outlook.on_outcome(false, start + milliseconds(i));
-    CHECK(outlook.answered_share(start + milliseconds(5)) > 0.35);
+    CHECK(outlook.response_rate(start + milliseconds(5)) > 0.35);
     outlook.on_outcome(false, start + milliseconds(900));
-    CHECK(outlook.answered_share(start + milliseconds(900)) < 0.35);
+    CHECK(outlook.response_rate(start + milliseconds(900)) < 0.35);
     outlook.on_outcome(true, start + milliseconds(1800));
-    CHECK(outlook.answered_share(start + milliseconds(1800)) > 0.6);
+    CHECK(outlook.response_rate(start + milliseconds(1800)) > 0.6);
 }
--- a/tests/test_crash_suspects.cpp
+++ b/tests/test_crash_suspects.cpp
@@ -21,7 +21,7 @@
 void crash_all(dispatcher_fixture& fleet, request_key key, std::size_t from)
 {
     for (auto i = from; i < fleet.sent.size() && !fleet.has_response(key); ++i) {
-        if (!fleet.cancelled.contains(fleet.sent[i].id.value())) fleet.finish_attempt(i, attempt_end::disconnected);
+        if (!fleet.cancelled.contains(fleet.sent[i].id.value())) fleet.finish_attempt(i, attempt_status::disconnected);
         fleet.advance(20ms);
     }
 }
@@ -34,12 +34,12 @@
     dispatcher_fixture fleet;
     auto const key = fleet.start("/gather/x", "id1");
     REQUIRE(fleet.sent.size() == 4);
-    fleet.finish_attempt(0, attempt_end::disconnected);
+    fleet.finish_attempt(0, attempt_status::disconnected);
     CHECK(fleet.sent.size() == 4); // The three other attempts show soon whether the query is the cause.
-    fleet.finish_attempt(1, attempt_end::disconnected);
+    fleet.finish_attempt(1, attempt_status::disconnected);
     CHECK(fleet.cancelled.size() == 2);
     REQUIRE(fleet.sent.size() == 5);
-    fleet.finish_attempt(4, attempt_end::disconnected);
+    fleet.finish_attempt(4, attempt_status::disconnected);
     CHECK(fleet.response_to(key).status == 502);
     CHECK(fleet.sent.size() == 5);
     CHECK(fleet.finished.back().reason == std::string("crashed_servers"));
@@ -59,11 +59,11 @@
 {
     dispatcher_fixture fleet;
     auto const key = fleet.start("/gather/x", "id1");
-    fleet.finish_attempt(0, attempt_end::disconnected);
+    fleet.finish_attempt(0, attempt_status::disconnected);
     SUBCASE("after one crash, as soon as another shard has responded") { fleet.respond(1, 200, std::string(16, 'a')); }
     SUBCASE("after two crashes, as soon as one server has responded")
     {
-        fleet.finish_attempt(1, attempt_end::disconnected);
+        fleet.finish_attempt(1, attempt_status::disconnected);
         REQUIRE(fleet.sent.size() == 5);
         fleet.respond(4, 200, std::string(16, 'a'));
     }
@@ -72,14 +72,14 @@
     }
     CHECK(fleet.response_to(key).status == 200);
     CHECK(fleet.response_to(key).header("missing") == "0");
-    CHECK(fleet.quarantine.standing(fleet.finished.back().digest, fleet.now) == request_standing::clear);
+    CHECK(fleet.quarantine.status(fleet.finished.back().digest, fleet.now) == quarantine_status::clear);
 }
 
 TEST_CASE("crash suspects: slow shards are hedged again once another shard has responded")
 {
     dispatcher_fixture fleet;
     fleet.start("/gather/x", "id1");
-    fleet.finish_attempt(0, attempt_end::disconnected);
+    fleet.finish_attempt(0, attempt_status::disconnected);
     fleet.advance(150ms);
     CHECK(fleet.sent.size() == 4);
     fleet.respond(1, 200, std::string(16, 'a'));
@@ -115,18 +115,18 @@
     options.by_coverage = false; // Otherwise queries would be rejected because of the shards that are unreachable.
     dispatcher_fixture fleet(options);
     auto const first = fleet.start("/gather/x", "id1");
-    fleet.finish_attempt(0, attempt_end::disconnected);
-    fleet.finish_attempt(1, attempt_end::disconnected);
-    fleet.finish_attempt(4, attempt_end::not_sent);
+    fleet.finish_attempt(0, attempt_status::disconnected);
+    fleet.finish_attempt(1, attempt_status::disconnected);
+    fleet.finish_attempt(4, attempt_status::not_sent);
     for (int i = 0; i < 30 && !fleet.has_response(first); ++i) {
         for (std::size_t each = 5; each < fleet.sent.size(); ++each)
-            fleet.finish_attempt(each, attempt_end::not_sent);
+            fleet.finish_attempt(each, attempt_status::not_sent);
         fleet.advance(20ms);
     }
     CHECK(fleet.response_to(first).status == 502);
     auto const before = fleet.sent.size();
 
-    REQUIRE(fleet.quarantine.told(fleet.now).size() == 1);
+    REQUIRE(fleet.quarantine.own_records(fleet.now).size() == 1);
     auto const trial = fleet.start("/gather/x", "id2");
     REQUIRE(fleet.sent.size() == before + 1);
     auto const meanwhile = fleet.start("/gather/x", "id3");
@@ -143,27 +143,27 @@
     }
     SUBCASE("another crash leads to quarantine")
     {
-        fleet.finish_attempt(before, attempt_end::disconnected);
+        fleet.finish_attempt(before, attempt_status::disconnected);
         CHECK(fleet.response_to(trial).status == 502);
         CHECK(fleet.response_to(fleet.start("/gather/x", "id4")).status == 503);
         CHECK(fleet.sent.size() == before + 1);
     }
     SUBCASE("a rejection by a server neither clears nor incriminates it")
     {
-        fleet.finish_attempt(before, attempt_end::not_executed);
+        fleet.finish_attempt(before, attempt_status::not_executed);
         fleet.advance(20ms);
         CHECK(not_cancelled(fleet, before + 1) == 1);
     }
     SUBCASE("a caller that disconnects during the trial cannot cause repeated trials")
     {
         // Two crashes are recorded, and a third one is needed.
-        fleet.finish_attempt(before, attempt_end::disconnected);
+        fleet.finish_attempt(before, attempt_status::disconnected);
         auto const digest = fleet.finished.back().digest;
         fleet.advance(60s);
-        CHECK(fleet.quarantine.standing(digest, fleet.now) == request_standing::suspect);
+        CHECK(fleet.quarantine.status(digest, fleet.now) == quarantine_status::suspect);
         auto const second = fleet.start("/gather/x", "id5");
         fleet.requests->on_caller_disconnected(second, fleet.now);
-        CHECK(fleet.quarantine.standing(digest, fleet.now) == request_standing::quarantined);
+        CHECK(fleet.quarantine.status(digest, fleet.now) == quarantine_status::quarantined);
     }
 }
 
@@ -174,7 +174,7 @@
     message.path = "/plain/x";
     message.headers = {{"host", "h.example"}};
     auto const digest = digest_of(message);
-    fleet.quarantine.learn("gw", {{digest, 3, 1, milliseconds(30000)}}, fleet.now);
+    fleet.quarantine.apply_peer_records("gw", {{digest, 3, 1, milliseconds(30000)}}, fleet.now);
     CHECK(fleet.response_to(fleet.start("/plain/x", "id1")).status == 503);
     CHECK(fleet.sent.empty());
     CHECK(fleet.finished.back().reason == std::string("quarantined"));
@@ -202,11 +202,11 @@
         http_request message;
         message.path = "/gather/common";
         message.headers = {{"host", "h.example"}};
-        fleet.quarantine.learn("gw", {{digest_of(message), 3, 1, milliseconds(30000)}}, fleet.now);
+        fleet.quarantine.apply_peer_records("gw", {{digest_of(message), 3, 1, milliseconds(30000)}}, fleet.now);
         fleet.start("/gather/common", "id3");
         // The peer gateways are notified that it received a response.
-        REQUIRE(fleet.quarantine.told(fleet.now).size() == 1);
-        CHECK(fleet.quarantine.told(fleet.now)[0].answered);
+        REQUIRE(fleet.quarantine.own_records(fleet.now).size() == 1);
+        CHECK(fleet.quarantine.own_records(fleet.now)[0].answered);
     }
     auto const before = fleet.sent.size();
     auto const next = fleet.start("/gather/common", "id4");
--- a/tests/test_preconnect.cpp
+++ b/tests/test_preconnect.cpp
@@ -13,12 +13,12 @@
     std::vector<std::string> servers_to_connect(std::set<std::string> const& connected = {})
     {
         auto const is_connected = [&](std::shared_ptr<backend_server> const& server) {
-            return connected.contains(server->entry.id.value());
+            return connected.contains(server->registration.id.value());
         };
         std::vector<std::string> ids;
         for (auto const& server :
-             backends_to_preconnect(*configs.current(), registry, places, is_connected, random, now))
-            ids.push_back(server->entry.id.value());
+             backends_to_preconnect(*configs.current(), registry, placement, is_connected, random, now))
+            ids.push_back(server->registration.id.value());
         return ids;
     }
     /** @return whether @p id is one of the servers to connect to. */
@@ -47,11 +47,11 @@
         std::erase_if(routes, [](route const& each) { return !each.gather; });
         routes.resize(1);
         routes.push_back(routes.front());
-        routes[0].homes = first;
-        routes[1].homes = second;
+        routes[0].home_regions = first;
+        routes[1].home_regions = second;
         routes[1].prefix = "/other/";
-        configs.offer(std::make_shared<serving_config const>(
-            config_version(version), routes, std::map<service_name, service_spec_limits>{}, caller_limits{}));
+        configs.set_if_newer(std::make_shared<serving_config const>(
+            config_version(version), routes, std::map<service_name, service_limits>{}, caller_limits{}));
     };
     with_homes(2, {region_name("q")}, {region_name("q")});
     CHECK(servers_to_connect() == std::vector<std::string>{"g0c"});
@@ -69,7 +69,7 @@
     }
     SUBCASE("because its failure domain is evacuated")
     {
-        places.evacuated().begin(domain_name("d"));
+        placement.evacuated().start(domain_name("d"));
         CHECK(servers_to_connect() == std::vector<std::string>{"g0c"});
     }
     SUBCASE("because it has just failed, until it may be tried again")
--- a/tests/test_quarantine.cpp
+++ b/tests/test_quarantine.cpp
@@ -1,4 +1,4 @@
-/** @file test_quarantine.cpp Requests under which backend servers end: what makes two of them the same. */
+/** @file test_quarantine.cpp Quarantine of requests that crash backend servers, and the digest of a request. */
 #include <cornelspring/quarantine.hpp>
 
 #include <doctest/doctest.h>
@@ -19,14 +19,15 @@
 
 } // namespace
 
-TEST_CASE("digest: a repetition has the same one, another path, body or caller another")
+TEST_CASE("digest: equal for a repetition, different for another path, body or caller")
 {
     auto const request = make_request("/a/b", "body", "id1");
     auto const first = digest_of(request);
     CHECK(first == digest_of(make_request("/a/b", "body", "id2")));
     CHECK(first != digest_of(make_request("/a/c", "body", "id1")));
     CHECK(first != digest_of(make_request("/a/b", "other", "id1")));
-    CHECK(first != digest_of(make_request("/a/bb", "ody", "id1"))); // Parts cannot be shifted.
+    CHECK(first !=
+          digest_of(make_request("/a/bb", "ody", "id1"))); // The boundaries of the parts are included in the digest.
     auto of_somebody = request;
     of_somebody.headers.push_back({"authorization", "Basic somebody"});
     CHECK(first != digest_of(of_somebody));
@@ -36,112 +37,113 @@
 namespace {
 
 time_point const begin{std::chrono::seconds(1000)};
-request_digest const deadly("00000000000000000000000000000001");
+request_digest const crashing("00000000000000000000000000000001");
 request_digest const other("00000000000000000000000000000002");
 
 } // namespace
 
-TEST_CASE("quarantine: a request is suspect from the first crash on, and an answer clears it")
+TEST_CASE("quarantine: a request is suspect from the first crash on, and a response clears it")
 {
     request_quarantine quarantine;
     CHECK(quarantine.empty());
-    quarantine.on_crashes(deadly, 1, begin);
-    CHECK(quarantine.standing(deadly, begin) == request_standing::suspect);
-    CHECK(quarantine.standing(other, begin) == request_standing::clear);
-    CHECK_FALSE(quarantine.convicts(deadly, 1));
-    CHECK(quarantine.convicts(deadly, 2));
-    quarantine.on_answered(deadly, begin);
-    CHECK(quarantine.standing(deadly, begin) == request_standing::clear);
+    quarantine.on_crashes(crashing, 1, begin);
+    CHECK(quarantine.status(crashing, begin) == quarantine_status::suspect);
+    CHECK(quarantine.status(other, begin) == quarantine_status::clear);
+    CHECK_FALSE(quarantine.reaches_crash_threshold(crashing, 1));
+    CHECK(quarantine.reaches_crash_threshold(crashing, 2));
+    quarantine.on_response(crashing, begin);
+    CHECK(quarantine.status(crashing, begin) == quarantine_status::clear);
 }
 
-TEST_CASE("quarantine: it ends, the request is tried again, and the next one is twice as long")
+TEST_CASE("quarantine: after it the request is tried again, and the next quarantine is twice as long")
 {
     request_quarantine quarantine;
-    auto const first = quarantine_options{}.first;
-    quarantine.on_crashes(deadly, 3, begin);
-    quarantine.convict(deadly, begin);
-    CHECK(quarantine.standing(deadly, begin + first - milliseconds(1)) == request_standing::quarantined);
-    CHECK(quarantine.standing(deadly, begin + first) == request_standing::suspect);
-    quarantine.on_crashes(deadly, 1, begin + first);
-    quarantine.convict(deadly, begin + first);
-    CHECK(quarantine.quarantine_left(deadly, begin + first) == 2 * first);
+    auto const first = quarantine_options{}.first_duration;
+    quarantine.on_crashes(crashing, 3, begin);
+    quarantine.start_quarantine(crashing, begin);
+    CHECK(quarantine.status(crashing, begin + first - milliseconds(1)) == quarantine_status::quarantined);
+    CHECK(quarantine.status(crashing, begin + first) == quarantine_status::suspect);
+    quarantine.on_crashes(crashing, 1, begin + first);
+    quarantine.start_quarantine(crashing, begin + first);
+    CHECK(quarantine.quarantine_left(crashing, begin + first) == 2 * first);
     for (int i = 0; i < 20; ++i)
-        quarantine.convict(deadly, begin + first);
-    CHECK(quarantine.quarantine_left(deadly, begin + first) == quarantine_options{}.longest);
-    CHECK(quarantine.standing(deadly, begin + std::chrono::hours(1)) == request_standing::clear);
+        quarantine.start_quarantine(crashing, begin + first);
+    CHECK(quarantine.quarantine_left(crashing, begin + first) == quarantine_options{}.max_duration);
+    CHECK(quarantine.status(crashing, begin + std::chrono::hours(1)) == quarantine_status::clear);
 }
 
-TEST_CASE("quarantine: what gateways see of a request adds up, and a quarantine holds at all of them")
+TEST_CASE("quarantine: the crashes observed by all gateways are added up, and a quarantine applies at all of them")
 {
-    request_quarantine here;
-    request_quarantine there;
-    here.on_crashes(deadly, 1, begin);
-    there.on_crashes(deadly, 1, begin);
-    here.learn("there", there.told(begin), begin);
-    CHECK(here.convicts(deadly, 1));
-    here.on_crashes(deadly, 1, begin);
-    here.convict(deadly, begin);
-    there.learn("here", decode_crash_records(encode_crash_records(here.told(begin))), begin);
-    CHECK(there.standing(deadly, begin) == request_standing::quarantined);
-    CHECK(there.quarantine_left(deadly, begin) == quarantine_options{}.first);
-    // Each tells what it saw itself, so that nothing is counted twice.
-    CHECK(there.told(begin).size() == 1);
-    CHECK(there.told(begin)[0].crashes == 1);
-    CHECK(there.told(begin)[0].convictions == 0);
-    // A gateway whose record has gone takes back what it saw, but no quarantine.
-    there.learn("here", {}, begin);
-    CHECK(there.standing(deadly, begin) == request_standing::quarantined);
-    CHECK_FALSE(there.convicts(deadly, 1));
+    request_quarantine this_vm;
+    request_quarantine peer;
+    this_vm.on_crashes(crashing, 1, begin);
+    peer.on_crashes(crashing, 1, begin);
+    this_vm.apply_peer_records("there", peer.own_records(begin), begin);
+    CHECK(this_vm.reaches_crash_threshold(crashing, 1));
+    this_vm.on_crashes(crashing, 1, begin);
+    this_vm.start_quarantine(crashing, begin);
+    peer.apply_peer_records("here", decode_crash_records(encode_crash_records(this_vm.own_records(begin))), begin);
+    CHECK(peer.status(crashing, begin) == quarantine_status::quarantined);
+    CHECK(peer.quarantine_left(crashing, begin) == quarantine_options{}.first_duration);
+    // Each gateway publishes only its own observations, so that no crash is counted twice.
+    CHECK(peer.own_records(begin).size() == 1);
+    CHECK(peer.own_records(begin)[0].crashes == 1);
+    CHECK(peer.own_records(begin)[0].quarantines == 0);
+    // When a gateway's record is removed, its crashes no longer count, but the quarantine stays.
+    peer.apply_peer_records("here", {}, begin);
+    CHECK(peer.status(crashing, begin) == quarantine_status::quarantined);
+    CHECK_FALSE(peer.reaches_crash_threshold(crashing, 1));
 }
 
-TEST_CASE("quarantine: a gateway that starts again takes up what it told before")
+TEST_CASE("quarantine: a gateway that restarts restores its own records")
 {
     request_quarantine before;
-    before.on_crashes(deadly, 3, begin);
-    before.convict(deadly, begin);
+    before.on_crashes(crashing, 3, begin);
+    before.start_quarantine(crashing, begin);
     request_quarantine after;
-    after.resume(before.told(begin), begin);
-    CHECK(after.standing(deadly, begin) == request_standing::quarantined);
-    CHECK(after.told(begin) == before.told(begin));
+    after.restore_own_records(before.own_records(begin), begin);
+    CHECK(after.status(crashing, begin) == quarantine_status::quarantined);
+    CHECK(after.own_records(begin) == before.own_records(begin));
 }
 
-TEST_CASE("quarantine: memory is bounded, and a request on trial is not forgotten")
+TEST_CASE("quarantine: the number of records is bounded, and a request on trial is not evicted")
 {
     quarantine_options options;
-    options.kept = 8;
+    options.max_requests = 8;
     request_quarantine quarantine(options);
-    quarantine.on_crashes(deadly, 1, begin);
-    quarantine.begin_trial(deadly);
+    quarantine.on_crashes(crashing, 1, begin);
+    quarantine.start_trial(crashing);
     for (int i = 0; i < 100; ++i)
         quarantine.on_crashes(request_digest("d" + std::to_string(i)), 1, begin + milliseconds(i + 1));
-    CHECK(quarantine.told(begin).size() <= options.kept);
-    CHECK(quarantine.on_trial(deadly));
+    CHECK(quarantine.own_records(begin).size() <= options.max_requests);
+    CHECK(quarantine.on_trial(crashing));
 }
 
-TEST_CASE("quarantine: records of another format are refused")
+TEST_CASE("quarantine: records of another format are rejected")
 {
     CHECK_THROWS_AS(decode_crash_records("{}"), error);
     CHECK_THROWS_AS(decode_crash_records(R"({"requests":[{"digest":1}]})"), error);
 }
 
-TEST_CASE("quarantine: an answer at one gateway ends it at all of them")
+TEST_CASE("quarantine: a response at one gateway ends the quarantine at all of them")
 {
-    request_quarantine here;
-    request_quarantine there;
-    here.on_crashes(deadly, 3, begin);
-    here.convict(deadly, begin);
-    there.learn("here", here.told(begin), begin);
-    there.on_answered(deadly, begin);
-    int told = 0;
-    here.on_change([&told](request_quarantine::change const& change) { told += change.to_tell ? 1 : 0; });
-    here.learn("there", decode_crash_records(encode_crash_records(there.told(begin))), begin);
-    CHECK(here.standing(deadly, begin) == request_standing::clear);
-    CHECK(here.told(begin).empty());
-    CHECK(told == 1);
+    request_quarantine this_vm;
+    request_quarantine peer;
+    this_vm.on_crashes(crashing, 3, begin);
+    this_vm.start_quarantine(crashing, begin);
+    peer.apply_peer_records("here", this_vm.own_records(begin), begin);
+    peer.on_response(crashing, begin);
+    int changes = 0;
+    this_vm.on_change(
+        [&changes](request_quarantine::change const& change) { changes += change.own_record_changed ? 1 : 0; });
+    this_vm.apply_peer_records("there", decode_crash_records(encode_crash_records(peer.own_records(begin))), begin);
+    CHECK(this_vm.status(crashing, begin) == quarantine_status::clear);
+    CHECK(this_vm.own_records(begin).empty());
+    CHECK(changes == 1);
     // New crashes count again.
-    here.on_crashes(deadly, 3, begin);
-    here.convict(deadly, begin);
-    there.learn("here", here.told(begin), begin);
-    CHECK(there.standing(deadly, begin) == request_standing::quarantined);
-    CHECK(there.told(begin).empty());
+    this_vm.on_crashes(crashing, 3, begin);
+    this_vm.start_quarantine(crashing, begin);
+    peer.apply_peer_records("here", this_vm.own_records(begin), begin);
+    CHECK(peer.status(crashing, begin) == quarantine_status::quarantined);
+    CHECK(peer.own_records(begin).empty());
 }
