--- a/include/cornelspring/base.hpp
+++ b/include/cornelspring/base.hpp
@@ -138,12 +138,12 @@
 
 /** Declaration of one setting: its key, type, default, range and help text. */
 struct setting_def {
-    std::string key;                       ///< Dotted key, such as "listen.port".
-    setting_type type;                     ///< Type of the value.
-    std::optional<setting_value> fallback; ///< Default; none means the key is required.
-    double min = 0;                        ///< Lowest allowed number (integers and floats).
-    double max = 0;                        ///< Highest allowed number; min == max means no range check.
-    std::string help;                      ///< One line saying what it does and its unit.
+    std::string key;                            ///< Dotted key, such as "listen.port".
+    setting_type type;                          ///< Type of the value.
+    std::optional<setting_value> default_value; ///< Default; none means the key is required.
+    double min = 0;                             ///< Lowest allowed number (integers and floats).
+    double max = 0;                             ///< Highest allowed number; min == max means no range check.
+    std::string help;                           ///< One line saying what it does and its unit.
 };
 
 /** Settings of one program after checking: every declared key has a valid value. */
--- a/include/cornelspring/net.hpp
+++ b/include/cornelspring/net.hpp
@@ -65,7 +65,7 @@
     /** @param bytes_per_s what the link carries; 0: not known, nothing is taken to wait. */
     explicit uplink_backlog(double bytes_per_s = 0) : m_bytes_per_s(bytes_per_s) {}
     /** Notes bytes that a socket has taken. @param bytes how many. @param now present time. */
-    void on_taken(std::size_t bytes, time_point now);
+    void record_sent(std::size_t bytes, time_point now);
     /** @return how long a byte that is taken now waits behind the others. @param now present time. */
     clock::duration wait(time_point now) const;
 
@@ -101,7 +101,7 @@
      * the descriptors, the timers before it and the pass before it have taken. Next to nothing unless the process is
      * behind with its work.
      */
-    clock::duration unread_time() const;
+    clock::duration max_unread_time() const;
     /** Says what this VM's link carries. @param bytes_per_s rate of the link; 0: not known. */
     void set_uplink(double bytes_per_s);
     /** @return how long bytes that a stream sends now wait at this VM's link behind those sent before. */
@@ -139,8 +139,9 @@
 
 /** Limits of a TCP connection. */
 struct stream_options {
-    milliseconds unacknowledged_limit{3000}; ///< TCP_USER_TIMEOUT: unacknowledged bytes end the connection after this.
-    bool keep_alive = false;                 ///< Probe an idle peer each second; three lost probes end the connection.
+    milliseconds unacknowledged_timeout{
+        3000};               ///< TCP_USER_TIMEOUT: unacknowledged bytes end the connection after this.
+    bool keep_alive = false; ///< Probe an idle peer each second; three lost probes end the connection.
 };
 
 /** A TCP connection owned by one task of the event loop. Destroying it closes it; no event follows. */
--- a/src/base/settings.cpp
+++ b/src/base/settings.cpp
@@ -140,11 +140,11 @@
     for (auto const& def : defs) {
         auto const found = leaves.find(def.key);
         if (found == leaves.end()) {
-            if (!def.fallback) {
+            if (!def.default_value) {
                 throw error(error_kind::bad_settings, source + ": required key '" + def.key + "' is missing.",
                             "Add '" + def.key + "' (" + def.help + ").");
             }
-            result.set(def.key, *def.fallback);
+            result.set(def.key, *def.default_value);
             continue;
         }
         auto value = convert(*found->second, def);
@@ -171,7 +171,7 @@
     for (auto const& def : defs) {
         out << "  " << def.key << " (" << type_name(def.type);
         if (def.min != def.max) out << ", " << def.min << " to " << def.max;
-        out << (def.fallback ? "" : ", required") << "): " << def.help << "\n";
+        out << (def.default_value ? "" : ", required") << "): " << def.help << "\n";
     }
     return out.str();
 }
--- a/src/feed/state_publisher.cpp
+++ b/src/feed/state_publisher.cpp
@@ -94,7 +94,7 @@
         pending.keys.begin() + static_cast<std::ptrdiff_t>(std::clamp<std::size_t>(max_keys, 1, pending.keys.size()));
     std::vector<request_key> const keys(pending.keys.begin(), part_end);
     pending.keys.erase(pending.keys.begin(), part_end);
-    m_follower_uplink.on_taken(pending.response.body.size() * keys.size(), now);
+    m_follower_uplink.record_sent(pending.response.body.size() * keys.size(), now);
     m_hooks.respond(keys, pending.response);
 }
 
--- a/src/gateway/caller_server.cpp
+++ b/src/gateway/caller_server.cpp
@@ -177,7 +177,7 @@
     service.on_request({key,
                         std::move(request),
                         from.internal,
-                        {loop.unread_time(), from.stream->round_trip()},
+                        {loop.max_unread_time(), from.stream->round_trip()},
                         caller_address(from.stream->peer_host())});
 }
 
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -169,7 +169,7 @@
 
 time_point event_loop::now() const { return m_impl->now; }
 
-clock::duration event_loop::unread_time() const
+clock::duration event_loop::max_unread_time() const
 {
     auto const this_pass = m_impl->pass_began == time_point{} ? clock::duration(0) : m_impl->now - m_impl->pass_began;
     return m_impl->previous_took + m_impl->timers_took + this_pass;
--- a/src/net/tcp_stream.cpp
+++ b/src/net/tcp_stream.cpp
@@ -51,7 +51,7 @@
 /** Applies @p options to @p fd. */
 void apply_options(int fd, stream_options const& options)
 {
-    set_option(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, static_cast<int>(options.unacknowledged_limit.count()));
+    set_option(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, static_cast<int>(options.unacknowledged_timeout.count()));
     if (!options.keep_alive) return;
     set_option(fd, SOL_SOCKET, SO_KEEPALIVE, 1);
     set_option(fd, IPPROTO_TCP, TCP_KEEPIDLE, keep_alive_interval_s);
@@ -136,7 +136,7 @@
     while (sent < bytes.size()) {
         auto const took = ::send(watch->fd, bytes.data() + sent, bytes.size() - sent, MSG_NOSIGNAL);
         if (took > 0) {
-            watch->loop->uplink.on_taken(static_cast<std::size_t>(took), watch->loop->now);
+            watch->loop->uplink.record_sent(static_cast<std::size_t>(took), watch->loop->now);
             sent += static_cast<std::size_t>(took);
             continue;
         }
--- a/src/net/uplink_backlog.cpp
+++ b/src/net/uplink_backlog.cpp
@@ -5,7 +5,7 @@
 
 namespace cornelspring {
 
-void uplink_backlog::on_taken(std::size_t bytes, time_point now)
+void uplink_backlog::record_sent(std::size_t bytes, time_point now)
 {
     if (m_bytes_per_s <= 0) return;
     auto const transfer = std::chrono::duration<double>(static_cast<double>(bytes) / m_bytes_per_s);
--- a/tests/feed_fleet.cpp
+++ b/tests/feed_fleet.cpp
@@ -178,7 +178,7 @@
 
 clock::duration feed_fleet::use_link(vm_state& vm, std::size_t bytes)
 {
-    vm.link.on_taken(bytes, m_agenda.now());
+    vm.link.record_sent(bytes, m_agenda.now());
     auto const wait = vm.link.wait(m_agenda.now());
     m_longest_link_wait = std::max(m_longest_link_wait, wait);
     return wait;
--- a/tests/test_busy_process.cpp
+++ b/tests/test_busy_process.cpp
@@ -169,11 +169,11 @@
 {
     uplink_backlog link(1e6);
     time_point const begin{};
-    link.on_taken(500'000, begin);
-    link.on_taken(100'000, begin + 100ms);
+    link.record_sent(500'000, begin);
+    link.record_sent(100'000, begin + 100ms);
     CHECK(link.wait(begin + 100ms) == 500ms);
     CHECK(link.wait(begin + 700ms) == 0ms);
     uplink_backlog unknown;
-    unknown.on_taken(1 << 30, begin);
+    unknown.record_sent(1 << 30, begin);
     CHECK(unknown.wait(begin) == 0ms);
 }
