--- a/include/cornelspring/net.hpp
+++ b/include/cornelspring/net.hpp
@@ -1,4 +1,4 @@
-/** @file net.hpp Event loop, TCP streams and strict HTTP/1.1 messages for processes with one I/O thread. */
+/** @file net.hpp Event loop, TCP streams and strict HTTP/1.1 parsing for processes with one I/O thread. */
 #pragma once
 
 #include <cornelspring/base.hpp>
@@ -19,170 +19,174 @@
     std::string value; ///< Value.
 };
 
-/** A request as the transport delivers it to a handler or sends it to a peer. */
+/** An HTTP request, received or to be sent. */
 struct http_request {
     std::string method = "GET";       ///< HTTP method.
     std::string path = "/";           ///< Path with query string.
     std::vector<http_header> headers; ///< Headers other than pseudo-headers.
     std::string body;                 ///< Body.
-    /** Set once the peer gave the request up (stream reset or connection lost); null on the sending side. */
+    /** Set when the peer cancels the request (stream reset or connection lost); null on the sending side. */
     std::shared_ptr<std::atomic<bool>> cancelled;
     /** @return the value of header @p name, or "" when absent. @param name lower-case name. */
     std::string header(std::string const& name) const;
-    /** @return true when the peer no longer waits for the answer. */
+    /** @return whether the peer has cancelled the request. */
     bool is_cancelled() const { return cancelled != nullptr && cancelled->load(); }
 };
 
 /** @return a POST of @p json_text as application/json. @param path path. @param json_text body. */
 http_request json_post(std::string path, std::string json_text);
 
-/** A response. */
+/** An HTTP response. */
 struct http_response {
     int status = 200;                 ///< HTTP status.
-    std::vector<http_header> headers; ///< Headers; content-type is set by the helpers below.
+    std::vector<http_header> headers; ///< Headers; json_response() sets content-type.
     std::string body;                 ///< Body.
     /** @return the value of header @p name, or "" when absent. @param name lower-case name. */
     std::string header(std::string const& name) const;
 };
 
-/** @return a response carrying @p json_text as application/json. @param status HTTP status. @param json_text body. */
+/** @return a response with @p json_text as application/json. @param status HTTP status. @param json_text body. */
 http_response json_response(int status, std::string json_text);
 
 /**
- * @return the JSON error response for @p failure: {"error": kind, "message", "remedy"}, with Retry-After
- * when @p retry_after_s is positive.
+ * @return the JSON error response for @p failure, with the fields "error" (its kind), "message" and "remedy".
+ * When @p retry_after_s is positive, it also has the field "retry_after_s" and the header Retry-After.
  * @param failure the error.
- * @param retry_after_s seconds after which the caller may come back, or 0.
+ * @param retry_after_s seconds after which the caller may retry, or 0.
  */
 http_response error_response(error const& failure, int retry_after_s = 0);
 
 /**
- * Estimates how long bytes wait at this VM's own link: what sockets have taken drains at the link's rate. A socket
- * takes up to its buffer at once, so that many of them together hold seconds of a small link.
+ * Estimates the queueing delay at this VM's uplink: bytes written to sockets leave at the rate of the link. Each
+ * socket accepts as many bytes as fit its send buffer at once, so the buffers of many sockets together can hold
+ * several seconds of a slow link's traffic.
  */
 class uplink_backlog {
 public:
-    /** @param bytes_per_s what the link carries; 0: not known, nothing is taken to wait. */
+    /** @param bytes_per_s rate of the uplink; 0: not known, the delay is then taken as 0. */
     explicit uplink_backlog(double bytes_per_s = 0) : m_bytes_per_s(bytes_per_s) {}
-    /** Notes bytes that a socket has taken. @param bytes how many. @param now present time. */
+    /** Records bytes that a socket has accepted. @param bytes their number. @param now current time. */
     void record_sent(std::size_t bytes, time_point now);
-    /** @return how long a byte that is taken now waits behind the others. @param now present time. */
+    /** @return the queueing delay of a byte that a socket accepts now. @param now current time. */
     clock::duration wait(time_point now) const;
 
 private:
-    double m_bytes_per_s;     ///< Rate of the link.
-    time_point m_empty_again; ///< When all bytes taken so far have left.
+    double m_bytes_per_s;     ///< Rate of the uplink.
+    time_point m_empty_again; ///< When all bytes accepted so far have left.
 };
 
-/** Identifies a timer of an event_loop, for cancellation; 0 names none. */
+/** Id of a timer of an event_loop, for cancellation; 0 means no timer. */
 using timer_id = strong_id<struct timer_id_tag, std::uint64_t>;
 
 /**
- * The one I/O thread of a process: a libwebsockets context that polls descriptors, and timers.
- * Everything it calls runs on the thread that called run().
+ * Event loop of a process with one I/O thread: a libwebsockets context that polls descriptors and runs timers.
+ * All callbacks run on the thread that called run().
  */
 class event_loop {
 public:
     /** Creates the libwebsockets context. @throw error internal when that fails. */
     event_loop();
-    /** Closes every descriptor that is still registered. */
+    /** Closes all descriptors that are still registered. */
     ~event_loop();
     event_loop(event_loop const&) = delete;
     event_loop& operator=(event_loop const&) = delete;
 
-    /** Serves descriptors and timers until stop() is called. */
+    /** Handles descriptor events and timers until stop() is called. */
     void run();
-    /** Makes run() return after the present callback. */
+    /** Makes run() return after the current callback. */
     void stop();
-    /** @return the time at which the present callback began. */
+    /** @return the time at which the current callback started. */
     time_point now() const;
     /**
-     * @return the longest time for which bytes read by the present callback may have waited unread: what this pass over
-     * the descriptors, the timers before it and the pass before it have taken. Next to nothing unless the process is
-     * behind with its work.
+     * @return an upper bound on the time for which bytes read by the current callback have waited in the socket: the
+     * time spent so far in this pass over the descriptors, in the timers run before it and in the previous pass.
+     * Close to 0 unless the process is overloaded.
      */
     clock::duration max_unread_time() const;
-    /** Says what this VM's link carries. @param bytes_per_s rate of the link; 0: not known. */
+    /** Sets the rate of this VM's uplink. @param bytes_per_s rate; 0: not known. */
     void set_uplink(double bytes_per_s);
-    /** @return how long bytes that a stream sends now wait at this VM's link behind those sent before. */
+    /** @return the estimated queueing delay at this VM's uplink of bytes that a stream sends now. */
     clock::duration uplink_wait() const;
-    /** Runs @p task once at @p when. @param when due time. @param task the work. @return id for cancel(). */
+    /** Runs @p task once at @p when. @param when due time. @param task callback. @return id for cancel(). */
     timer_id run_at(time_point when, std::function<void()> task);
-    /** Forgets a timer; does nothing when it has run. @param id from run_at(). */
+    /** Cancels a timer; does nothing if it has already run. @param id from run_at(). */
     void cancel(timer_id id);
-    /** Calls @p handler on the loop for each delivered signal. @param signals numbers. @param handler hook. */
+    /** Calls @p handler on the loop for each signal received. @param signals numbers. @param handler callback. */
     void on_signals(std::vector<int> const& signals, std::function<void(int)> handler);
 
-    /** Opaque state, defined in the source file. */
+    /** Implementation, defined in a private header. */
     struct impl;
-    /** @return the state, for the classes of this library. */
+    /** @return the implementation, for the classes of this library. */
     impl& state() { return *m_impl; }
 
 private:
-    std::unique_ptr<impl> m_impl; ///< libwebsockets context, descriptors, timers.
+    std::unique_ptr<impl> m_impl; ///< libwebsockets context and timers.
 };
 
-/** Why a stream ended. */
+/** How a TCP connection ended. */
 enum class stream_end {
-    closed,         ///< The peer closed in order: every byte it sent was read.
-    reset,          ///< The connection was reset or failed.
-    connect_failed, ///< It never was established.
+    closed,         ///< The peer closed it normally; all bytes it sent have been read.
+    reset,          ///< It was reset or failed.
+    connect_failed, ///< It was never established.
 };
 
-/** What a stream reports to its owner. */
+/** Callbacks of a stream to its owner. */
 struct stream_events {
-    std::function<void()> on_connected;                   ///< An outgoing connection is established.
-    std::function<void(std::string_view bytes)> on_bytes; ///< Bytes arrived.
-    std::function<void(stream_end end)> on_end;           ///< Ended by the peer or the network; at most once.
-    std::function<void()> on_flushed;                     ///< Everything handed to send() has left.
+    std::function<void()> on_connected;                   ///< An outgoing connection was established.
+    std::function<void(std::string_view bytes)> on_bytes; ///< Bytes were received.
+    std::function<void(stream_end end)> on_end;           ///< The peer or the network ended it; at most once.
+    std::function<void()> on_flushed;                     ///< The socket has accepted all bytes given to send().
 };
 
-/** Limits of a TCP connection. */
+/** Options of a TCP connection. */
 struct stream_options {
     milliseconds unacknowledged_timeout{
         3000};               ///< TCP_USER_TIMEOUT: unacknowledged bytes end the connection after this.
-    bool keep_alive = false; ///< Probe an idle peer each second; three lost probes end the connection.
+    bool keep_alive = false; ///< Probe an idle peer every second; three lost probes end the connection.
 };
 
-/** A TCP connection owned by one task of the event loop. Destroying it closes it; no event follows. */
+/** A TCP connection on an event loop. The destructor closes it; no callback is called after that. */
 class tcp_stream {
 public:
     /**
-     * Starts connecting; events tell the outcome.
-     * @param loop event loop. @param peer IPv4 address and port. @param options limits. @param events hooks.
+     * Starts to connect; on_connected or on_end reports the outcome.
+     * @param loop event loop. @param peer IPv4 address and port. @param options options. @param events callbacks.
      */
     tcp_stream(event_loop& loop, endpoint const& peer, stream_options options, stream_events events);
-    /** Takes over an accepted socket. @param loop event loop. @param socket descriptor. @param events hooks. */
+    /**
+     * Takes ownership of an accepted socket.
+     * @param loop event loop. @param socket descriptor. @param options options. @param events callbacks.
+     */
     tcp_stream(event_loop& loop, int socket, stream_options options, stream_events events);
-    /** Closes the connection at once. */
+    /** Closes the connection immediately. */
     ~tcp_stream();
     tcp_stream(tcp_stream const&) = delete;
     tcp_stream& operator=(tcp_stream const&) = delete;
 
-    /** Sends @p bytes, as many as the socket takes now and the rest when it can. @param bytes data. */
+    /** Sends @p bytes; buffers what the socket does not accept immediately. @param bytes data. */
     void send(std::string_view bytes);
-    /** @return bytes accepted by send() that have not left yet. */
+    /** @return the number of bytes given to send() that the socket has not accepted yet. */
     std::size_t unsent() const;
-    /** @return whether the stream has not ended. */
+    /** @return whether the connection has not ended; also true while connecting. */
     bool open() const;
-    /** @return the round trip time that the system measured on the connection; 0 when it does not say. */
+    /** @return the round-trip time measured by the kernel for this connection; 0 when not available. */
     std::chrono::microseconds round_trip() const;
     /** @return the peer's numeric IPv4 address; empty when the connection has ended. */
     std::string peer_host() const;
 
-    /** Opaque state, defined in the source file. */
+    /** Implementation, defined in the source file. */
     struct impl;
 
 private:
-    std::shared_ptr<impl> m_impl; ///< Shared with the loop until its descriptor is closed.
+    std::shared_ptr<impl> m_impl; ///< Shared with callbacks that are running.
 };
 
-/** Accepts TCP connections on one address. Destroying it stops accepting. */
+/** Accepts TCP connections on one address until destroyed. */
 class tcp_listener {
 public:
     /**
-     * @param loop event loop. @param address IPv4 address and port (0 picks one).
-     * @param on_accept receives each accepted, non-blocking socket, which it owns.
+     * @param loop event loop. @param address IPv4 address and port (0: the system chooses a port).
+     * @param on_accept called with each accepted, non-blocking socket; takes ownership of it.
      * @throw error unavailable when the address cannot be bound.
      */
     tcp_listener(event_loop& loop, endpoint const& address, std::function<void(int socket)> on_accept);
@@ -198,82 +202,83 @@
     std::uint16_t m_port = 0;                 ///< Bound port.
 };
 
-/** Why a received message is refused, or that it is not. */
+/** Progress of reading a message, or why it is rejected. */
 enum class parse_state {
     incomplete,       ///< More bytes are needed.
-    complete,         ///< One whole message was read.
-    malformed,        ///< Not HTTP/1.1, or ambiguous about where the body ends.
-    header_too_large, ///< Start line and headers exceed the limit.
+    complete,         ///< One complete message was read.
+    malformed,        ///< Not valid HTTP/1.x, or the length of the body is ambiguous.
+    header_too_large, ///< The start line and headers exceed the limit.
     body_too_large,   ///< The body exceeds the limit.
-    truncated,        ///< The connection ended before the message did.
+    truncated,        ///< The connection ended before the message was complete.
 };
 
 /** Limits on a received message. */
 struct message_limits {
-    std::size_t max_header_bytes = 16384;  ///< Start line and headers.
-    std::size_t max_body_bytes = 16 << 20; ///< Body.
+    std::size_t max_header_bytes = 16384;  ///< Limit on start line and headers.
+    std::size_t max_body_bytes = 16 << 20; ///< Limit on the body.
 };
 
-/** Reads one HTTP/1.1 message at a time, strictly (Debian's http_parser). */
+/** Strict incremental parser of HTTP/1.1 messages, one at a time, on Debian's http_parser. */
 class message_reader {
 public:
     /** Whether requests or responses are read. */
     enum class kind { request, response };
-    /** @param what kind of message. @param limits limits. */
+    /** @param what kind of message to read. @param limits size limits. */
     explicit message_reader(kind what, message_limits limits = {});
     ~message_reader();
     message_reader(message_reader const&) = delete;
     message_reader& operator=(message_reader const&) = delete;
 
     /**
-     * Reads bytes up to the end of the present message.
+     * Parses bytes up to the end of the current message.
      * @param bytes received bytes.
-     * @return bytes consumed; the rest belongs to what follows and is given again after restart().
+     * @return the number of bytes consumed; pass the rest, which belongs to the next message, again after restart().
      */
     std::size_t feed(std::string_view bytes);
-    /** Tells that the connection ended in order, which completes a response without a length. */
+    /** Handles a normal end of the connection; this completes a response without a length. */
     void finish();
     /** Prepares for the next message on the same connection. */
     void restart();
-    /** Says that the response being read answers a HEAD request and so has no body. */
+    /** States that the response being read is to a HEAD request and so has no body. */
     void expect_no_body();
 
-    /** @return progress or error. */
+    /** @return progress, or why the message is rejected. */
     parse_state state() const;
-    /** @return whether any byte of the present message was read. */
+    /** @return whether any byte of the current message has been read. */
     bool started() const;
-    /** @return whether the headers of the present message are complete. */
+    /** @return whether the headers of the current message are complete. */
     bool headers_done() const;
-    /** @return whether the message came with a length (or in chunks), so that it ends before the connection does. */
+    /** @return whether the message has a Content-Length or is chunked, so that its end does not depend on the
+     * connection's. */
     bool has_length() const;
-    /** @return whether the sender keeps the connection open after the message. */
+    /** @return whether the connection stays open after the message. */
     bool keep_alive() const;
-    /** @return whether the sender waits for 100 Continue before it sends the body. */
+    /** @return whether the client waits for 100 Continue before it sends the body. */
     bool expects_continue() const;
-    /** @return the request read; valid when complete. */
+    /** @return the request that was read; valid when complete. */
     http_request& request();
-    /** @return the response read; valid when complete. */
+    /** @return the response that was read; valid when complete. */
     http_response& response();
 
-    /** Opaque state, defined in the source file. */
+    /** Implementation, defined in the source file. */
     struct impl;
 
 private:
-    std::unique_ptr<impl> m_impl; ///< Parser and message.
+    std::unique_ptr<impl> m_impl; ///< Parser and current message.
 };
 
-/** @return whether header names @p left and @p right are equal regardless of case. */
+/** @return whether the header names @p left and @p right are equal, ignoring case. */
 bool same_header(std::string_view left, std::string_view right);
-/** @return whether header @p name concerns one connection only and must not be forwarded (RFC 9110, 7.6.1). */
+/** @return whether header @p name must not be forwarded: hop-by-hop (RFC 9110, 7.6.1), or Content-Length or Expect. */
 bool is_hop_by_hop(std::string_view name);
-/** Removes the headers that concern one connection only, those named by Connection included. */
+/** Removes the headers that must not be forwarded, including those listed in Connection. */
 void remove_hop_by_hop(std::vector<http_header>& headers);
-/** @return a request as bytes; Content-Length is set from the body. @param request the request. */
+/** @return @p request as bytes, with Content-Length set from the body. @param request the request. */
 std::string serialize(http_request const& request);
 /**
- * @return a response as bytes; Content-Length is set from the body.
+ * @return @p response as bytes, with Content-Length set from the body.
  * @param response the response. @param close whether the connection closes after it.
- * @param head_only whether it answers HEAD, so that the body stays out.
+ * @param head_only whether it is the response to a HEAD request, so that the body is left out.
  */
 std::string serialize(http_response const& response, bool close, bool head_only = false);
 
