--- a/include/cornelspring/net.hpp
+++ b/include/cornelspring/net.hpp
@@ -71,8 +71,8 @@
     clock::duration wait(time_point now) const;
 
 private:
-    double m_bytes_per_s;     ///< Rate of the uplink.
-    time_point m_empty_again; ///< When all bytes accepted so far have left.
+    double m_bytes_per_s;    ///< Rate of the uplink.
+    time_point m_drained_at; ///< When all bytes accepted so far have left.
 };
 
 /** Id of a timer of an event_loop, for cancellation; 0 means no timer. */
--- a/src/base/logging.cpp
+++ b/src/base/logging.cpp
@@ -50,11 +50,11 @@
  * A log4cplus appender that writes lines to a descriptor without ever blocking: what the descriptor does not take
  * now is kept up to a bound and sent with later lines; beyond the bound lines are dropped and counted.
  */
-class unblocking_appender : public log4cplus::Appender {
+class nonblocking_appender : public log4cplus::Appender {
 public:
     /** @param fd descriptor; made non-blocking. */
-    explicit unblocking_appender(int fd) : m_fd(fd) { fcntl(fd, F_SETFL, fcntl(fd, F_GETFL, 0) | O_NONBLOCK); }
-    ~unblocking_appender() override { destructorImpl(); }
+    explicit nonblocking_appender(int fd) : m_fd(fd) { fcntl(fd, F_SETFL, fcntl(fd, F_GETFL, 0) | O_NONBLOCK); }
+    ~nonblocking_appender() override { destructorImpl(); }
     /** Nothing is held open. */
     void close() override { closed = true; }
 
@@ -63,24 +63,24 @@
     void append(log4cplus::spi::InternalLoggingEvent const& event) override
     {
         auto const& line = formatEvent(event);
-        if (m_pending.size() + line.size() > pending_limit) {
+        if (m_unwritten.size() + line.size() > unwritten_limit) {
             ++m_dropped;
         } else {
-            if (m_dropped > 0 && m_pending.size() < pending_limit / 2) {
-                m_pending += "{\"event\":\"log_lines_dropped\",\"count\":" + std::to_string(m_dropped) + "}\n";
+            if (m_dropped > 0 && m_unwritten.size() < unwritten_limit / 2) {
+                m_unwritten += "{\"event\":\"log_lines_dropped\",\"count\":" + std::to_string(m_dropped) + "}\n";
                 m_dropped = 0;
             }
-            m_pending += line;
+            m_unwritten += line;
         }
-        auto const took = write(m_fd, m_pending.data(), m_pending.size());
-        if (took > 0) m_pending.erase(0, static_cast<std::size_t>(took));
+        auto const written = write(m_fd, m_unwritten.data(), m_unwritten.size());
+        if (written > 0) m_unwritten.erase(0, static_cast<std::size_t>(written));
     }
 
 private:
     /** Bytes kept for a reader that is behind: some thousand lines. */
-    static constexpr std::size_t pending_limit = 512 * 1024;
+    static constexpr std::size_t unwritten_limit = 512 * 1024;
     int m_fd;                    ///< Target.
-    std::string m_pending;       ///< Lines not yet written.
+    std::string m_unwritten;     ///< Lines not yet written.
     std::uint64_t m_dropped = 0; ///< Lines dropped since the last report.
 };
 
@@ -104,7 +104,7 @@
     g_program = program;
     log4cplus::SharedAppenderPtr appender;
     if (target == log_target::standard_output) {
-        appender = new unblocking_appender(STDOUT_FILENO);
+        appender = new nonblocking_appender(STDOUT_FILENO);
     } else {
         appender = new log4cplus::ConsoleAppender(true, true);
     }
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -27,7 +27,7 @@
     auto* watch = static_cast<descriptor_watch*>(lws_get_opaque_user_data(wsi));
     if (watch == nullptr) return 0;
     watch->loop->refresh_now();
-    if (watch->loop->pass_began == time_point{}) watch->loop->pass_began = watch->loop->now;
+    if (watch->loop->pass_started_at == time_point{}) watch->loop->pass_started_at = watch->loop->now;
     switch (reason) {
     case LWS_CALLBACK_RAW_RX_FILE:
         if (watch->on_readable) watch->on_readable();
@@ -51,26 +51,26 @@
 /** Runs the timers that are due. */
 void on_timer(lws_sorted_usec_list_t* list)
 {
-    auto* holder = lws_container_of(list, event_loop::impl::timer_holder, list);
-    holder->owner->run_due();
+    auto* wakeup = lws_container_of(list, event_loop::impl::wakeup_timer, list);
+    wakeup->owner->run_due_timers();
 }
 
 } // namespace
 
 void descriptor_watch::want_write()
 {
-    if (in_writable)
-        write_again = true;
+    if (on_writable_running)
+        write_wanted = true;
     else if (wsi != nullptr)
         lws_callback_on_writable(wsi);
 }
 
 void descriptor_watch::writable()
 {
-    in_writable = true;
+    on_writable_running = true;
     if (on_writable) on_writable();
-    in_writable = false;
-    if (!std::exchange(write_again, false)) return;
+    on_writable_running = false;
+    if (!std::exchange(write_wanted, false)) return;
     loop->run_at(loop->now, [weak = std::weak_ptr<descriptor_watch>(self)] {
         if (auto const watch = weak.lock()) watch->want_write();
     });
@@ -101,38 +101,38 @@
     return false;
 }
 
-void event_loop::impl::run_due()
+void event_loop::impl::run_due_timers()
 {
     refresh_now();
-    auto const began = now;
-    scheduled = time_point::max();
+    auto const started_at = now;
+    wakeup_at = time_point::max();
     while (!timers.empty() && timers.begin()->first.first <= now) {
         auto task = std::move(timers.begin()->second);
-        timer_times.erase(timers.begin()->first.second);
+        due_times.erase(timers.begin()->first.second);
         timers.erase(timers.begin());
         task();
     }
-    timers_took += clock::now() - began;
-    schedule();
+    timers_duration += clock::now() - started_at;
+    schedule_wakeup();
 }
 
 bool event_loop::impl::pass()
 {
-    pass_began = {};
-    timers_took = clock::duration(0);
+    pass_started_at = {};
+    timers_duration = clock::duration(0);
     bool const served = lws_service(context, 0) >= 0;
-    previous_took = pass_began == time_point{} ? clock::duration(0) : clock::now() - pass_began;
+    previous_pass_duration = pass_started_at == time_point{} ? clock::duration(0) : clock::now() - pass_started_at;
     return served;
 }
 
-void event_loop::impl::schedule()
+void event_loop::impl::schedule_wakeup()
 {
     if (timers.empty()) return;
     auto const due = timers.begin()->first.first;
-    if (due >= scheduled) return;
-    scheduled = due;
+    if (due >= wakeup_at) return;
+    wakeup_at = due;
     auto const wait = std::chrono::duration_cast<std::chrono::microseconds>(due - clock::now()).count();
-    lws_sul_schedule(context, 0, &holder.list, on_timer, std::max<std::int64_t>(wait, 1));
+    lws_sul_schedule(context, 0, &wakeup.list, on_timer, std::max<std::int64_t>(wait, 1));
 }
 
 event_loop::event_loop() : m_impl(std::make_unique<impl>())
@@ -147,7 +147,7 @@
     if (m_impl->vhost == nullptr) {
         throw error(error_kind::internal, "cannot create the event loop.", "Raise the limit of open files.");
     }
-    m_impl->holder.owner = m_impl.get();
+    m_impl->wakeup.owner = m_impl.get();
     m_impl->refresh_now();
     std::signal(SIGPIPE, SIG_IGN);
 }
@@ -171,8 +171,9 @@
 
 clock::duration event_loop::max_unread_time() const
 {
-    auto const this_pass = m_impl->pass_began == time_point{} ? clock::duration(0) : m_impl->now - m_impl->pass_began;
-    return m_impl->previous_took + m_impl->timers_took + this_pass;
+    auto const this_pass =
+        m_impl->pass_started_at == time_point{} ? clock::duration(0) : m_impl->now - m_impl->pass_started_at;
+    return m_impl->previous_pass_duration + m_impl->timers_duration + this_pass;
 }
 
 void event_loop::set_uplink(double bytes_per_s) { m_impl->uplink = uplink_backlog(bytes_per_s); }
@@ -181,10 +182,10 @@
 
 timer_id event_loop::impl::run_at(time_point when, std::function<void()> task)
 {
-    auto const id = ++last_timer;
+    auto const id = ++last_timer_id;
     timers.emplace(std::make_pair(when, id), std::move(task));
-    timer_times.emplace(id, when);
-    schedule();
+    due_times.emplace(id, when);
+    schedule_wakeup();
     return timer_id(id);
 }
 
@@ -195,25 +196,25 @@
 
 void event_loop::cancel(timer_id id)
 {
-    auto const found = m_impl->timer_times.find(id.value());
-    if (found == m_impl->timer_times.end()) return;
+    auto const found = m_impl->due_times.find(id.value());
+    if (found == m_impl->due_times.end()) return;
     m_impl->timers.erase({found->second, found->first});
-    m_impl->timer_times.erase(found);
+    m_impl->due_times.erase(found);
 }
 
 void event_loop::on_signals(std::vector<int> const& signals, std::function<void(int)> handler)
 {
-    int ends[2];
-    if (pipe2(ends, O_NONBLOCK | O_CLOEXEC) != 0) {
+    int pipe_ends[2];
+    if (pipe2(pipe_ends, O_NONBLOCK | O_CLOEXEC) != 0) {
         throw error(error_kind::internal, "cannot create the signal pipe.", "Raise the limit of open files.");
     }
-    g_signal_pipe = ends[1];
+    g_signal_pipe = pipe_ends[1];
     auto entry = std::make_shared<descriptor_watch>();
-    entry->fd = ends[0];
-    entry->on_readable = [fd = ends[0], handler = std::move(handler)] {
+    entry->fd = pipe_ends[0];
+    entry->on_readable = [fd = pipe_ends[0], handler = std::move(handler)] {
         unsigned char numbers[16];
-        auto const got = read(fd, numbers, sizeof numbers);
-        for (ssize_t i = 0; i < got; ++i)
+        auto const count = read(fd, numbers, sizeof numbers);
+        for (ssize_t i = 0; i < count; ++i)
             handler(numbers[i]);
     };
     m_impl->watch(entry);
--- a/src/net/event_loop_impl.hpp
+++ b/src/net/event_loop_impl.hpp
@@ -14,8 +14,8 @@
 struct descriptor_watch {
     int fd = -1;                            ///< The descriptor; closed by libwebsockets.
     bool closing = false;                   ///< close() was called.
-    bool in_writable = false;               ///< on_writable is running.
-    bool write_again = false;               ///< want_write() was called meanwhile.
+    bool on_writable_running = false;       ///< on_writable is running.
+    bool write_wanted = false;              ///< want_write() was called meanwhile.
     lws* wsi = nullptr;                     ///< libwebsockets' handle; null once closed.
     event_loop::impl* loop = nullptr;       ///< Owner.
     std::shared_ptr<descriptor_watch> self; ///< Keeps this alive while libwebsockets points to it.
@@ -37,23 +37,23 @@
 /** State of an event loop. */
 struct event_loop::impl {
     /** A libwebsockets timer entry that knows its loop. */
-    struct timer_holder {
+    struct wakeup_timer {
         lws_sorted_usec_list_t list{}; ///< Entry in libwebsockets' timer list.
         impl* owner = nullptr;         ///< The loop.
     };
-    lws_context* context = nullptr;           ///< libwebsockets context.
-    lws_vhost* vhost = nullptr;               ///< Its only virtual host.
-    timer_holder holder;                      ///< Wakes at the earliest timer.
-    time_point now;                           ///< Time of the present callback.
-    time_point scheduled = time_point::max(); ///< Due time of `holder`.
-    time_point pass_began;                    ///< First descriptor callback of this pass; the epoch before it.
-    clock::duration timers_took{0};           ///< Timers run in this pass, before the descriptors were polled.
-    clock::duration previous_took{0};         ///< Descriptor callbacks of the pass before.
-    uplink_backlog uplink;                    ///< Bytes on their way over this VM's link.
-    bool running = false;                     ///< run() goes on.
-    std::uint64_t last_timer = 0;             ///< Last timer id given out.
+    lws_context* context = nullptr;            ///< libwebsockets context.
+    lws_vhost* vhost = nullptr;                ///< Its only virtual host.
+    wakeup_timer wakeup;                       ///< Wakes at the earliest timer.
+    time_point now;                            ///< Time of the present callback.
+    time_point wakeup_at = time_point::max();  ///< Due time of `wakeup`.
+    time_point pass_started_at;                ///< First descriptor callback of this pass; the epoch before it.
+    clock::duration timers_duration{0};        ///< Timers run in this pass, before the descriptors were polled.
+    clock::duration previous_pass_duration{0}; ///< Descriptor callbacks of the pass before.
+    uplink_backlog uplink;                     ///< Bytes on their way over this VM's link.
+    bool running = false;                      ///< run() goes on.
+    std::uint64_t last_timer_id = 0;           ///< Last timer id given out.
     std::map<std::pair<time_point, std::uint64_t>, std::function<void()>> timers; ///< By due time, then id.
-    std::unordered_map<std::uint64_t, time_point> timer_times;                    ///< Due time by id.
+    std::unordered_map<std::uint64_t, time_point> due_times;                      ///< Due time by id.
 
     /** Reads the clock. */
     void refresh_now() { now = clock::now(); }
@@ -64,9 +64,9 @@
     /** Runs @p task once at @p when. @return id for cancel(). */
     timer_id run_at(time_point when, std::function<void()> task);
     /** Runs the timers that are due and schedules the next. */
-    void run_due();
+    void run_due_timers();
     /** Makes libwebsockets wake the loop for the earliest timer. */
-    void schedule();
+    void schedule_wakeup();
 };
 
 } // namespace cornelspring
--- a/src/net/http_message.cpp
+++ b/src/net/http_message.cpp
@@ -20,7 +20,7 @@
     std::size_t header_bytes = 0; ///< Bytes read before the headers were complete.
     bool started = false;         ///< A byte of this message was read.
     bool headers_done = false;    ///< Headers complete.
-    bool value_next = false;      ///< The last header field got its value.
+    bool value_started = false;   ///< The last header field got its value.
     bool keep_alive = false;      ///< Connection stays open after the message.
     bool has_length = false;      ///< Content-Length or chunked.
     bool no_body = false;         ///< Response to HEAD.
@@ -40,7 +40,7 @@
         response = {};
         header_bytes = 0;
         state = parse_state::incomplete;
-        started = headers_done = value_next = keep_alive = has_length = no_body = interim = false;
+        started = headers_done = value_started = keep_alive = has_length = no_body = interim = false;
     }
 };
 
@@ -60,7 +60,7 @@
 }
 
 /** Bytes of a header line beside name and value: colon, space and line end. */
-constexpr std::size_t header_line_extra = 4;
+constexpr std::size_t header_line_overhead = 4;
 
 /** Counts header bytes. @return 0, or what stops the parser when they exceed the limit. */
 int count_header_bytes(reader_state& reader, std::size_t length)
@@ -90,8 +90,8 @@
 {
     auto& reader = state_of(parser);
     auto& headers = reader.headers();
-    if (headers.empty() || reader.value_next) headers.emplace_back();
-    reader.value_next = false;
+    if (headers.empty() || reader.value_started) headers.emplace_back();
+    reader.value_started = false;
     append_lower(headers.back().name, at, length);
     return count_header_bytes(reader, length);
 }
@@ -101,9 +101,9 @@
 {
     auto& reader = state_of(parser);
     reader.headers().back().value.append(at, length);
-    std::size_t const extra = reader.value_next ? 0 : header_line_extra;
-    reader.value_next = true;
-    return count_header_bytes(reader, length + extra);
+    std::size_t const overhead = reader.value_started ? 0 : header_line_overhead;
+    reader.value_started = true;
+    return count_header_bytes(reader, length + overhead);
 }
 
 /** Notes what the headers say of the body and the connection. */
@@ -157,7 +157,7 @@
     auto& reader = state_of(parser);
     if (reader.interim) { // 100 Continue and its kin come before the response proper.
         reader.response = {};
-        reader.headers_done = reader.value_next = reader.interim = false;
+        reader.headers_done = reader.value_started = reader.interim = false;
         return 0;
     }
     reader.keep_alive = http_should_keep_alive(parser) != 0;
@@ -187,7 +187,7 @@
                                                               "upgrade",    "content-length", "expect"};
 
 /** @return the reason phrase of @p status. */
-char const* reason_of(int status)
+char const* reason_phrase(int status)
 {
     switch (status) {
 #define CORNEL_REASON(number, name, text)                                                                              \
@@ -272,14 +272,15 @@
 
 void remove_hop_by_hop(std::vector<http_header>& headers)
 {
-    std::string named = ",";
+    std::string connection_options = ",";
     for (auto const& header : headers) {
         if (same_header(header.name, "connection"))
-            append_lower(named, (header.value + ",").data(), header.value.size() + 1);
+            append_lower(connection_options, (header.value + ",").data(), header.value.size() + 1);
     }
-    named.erase(std::remove(named.begin(), named.end(), ' '), named.end());
-    std::erase_if(headers, [&named](http_header const& header) {
-        return is_hop_by_hop(header.name) || named.find("," + header.name + ",") != std::string::npos;
+    connection_options.erase(std::remove(connection_options.begin(), connection_options.end(), ' '),
+                             connection_options.end());
+    std::erase_if(headers, [&connection_options](http_header const& header) {
+        return is_hop_by_hop(header.name) || connection_options.find("," + header.name + ",") != std::string::npos;
     });
 }
 
@@ -299,7 +300,7 @@
 {
     std::string out;
     out.reserve(256 + response.body.size());
-    out.append("HTTP/1.1 ").append(std::to_string(response.status)).append(" ").append(reason_of(response.status));
+    out.append("HTTP/1.1 ").append(std::to_string(response.status)).append(" ").append(reason_phrase(response.status));
     out.append("\r\n");
     append_headers(out, response.headers);
     bool const bodiless = response.status == 204 || response.status == 304 || response.status / 100 == 1;
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -138,8 +138,8 @@
 
 void task_queue::run_all()
 {
-    char sink[256];
-    while (read(m_pipe[0], sink, sizeof sink) > 0) {
+    char discarded[256];
+    while (read(m_pipe[0], discarded, sizeof discarded) > 0) {
     }
     std::vector<std::function<void()>> tasks;
     {
--- a/src/net/tcp_stream.cpp
+++ b/src/net/tcp_stream.cpp
@@ -23,11 +23,11 @@
     /** Registers @p fd. */
     void start(event_loop& loop, int fd, stream_options const& options);
     /** Reads what has arrived and reports it. */
-    void read_some();
+    void on_readable();
     /** Goes on connecting or sending. */
-    void write_some();
+    void on_writable();
     /** Sends @p bytes until the socket takes no more. @return bytes taken. */
-    std::size_t push(std::string_view bytes);
+    std::size_t send_now(std::string_view bytes);
     /** Reports the end once. */
     void end(stream_end how);
 };
@@ -67,10 +67,10 @@
     watch->fd = fd;
     std::weak_ptr<impl> const weak = weak_from_this();
     watch->on_readable = [weak] {
-        if (auto const self = weak.lock()) self->read_some();
+        if (auto const self = weak.lock()) self->on_readable();
     };
     watch->on_writable = [weak] {
-        if (auto const self = weak.lock()) self->write_some();
+        if (auto const self = weak.lock()) self->on_writable();
     };
     watch->on_removed = [weak] {
         if (auto const self = weak.lock()) self->end(self->connecting ? stream_end::connect_failed : stream_end::reset);
@@ -84,24 +84,24 @@
     if (connecting) watch->want_write();
 }
 
-void tcp_stream::impl::read_some()
+void tcp_stream::impl::on_readable()
 {
     static thread_local std::array<char, read_size> buffer;
     auto const keep = shared_from_this();
     for (int i = 0; i < reads_per_event && !ended; ++i) {
-        auto const got = recv(watch->fd, buffer.data(), buffer.size(), 0);
-        if (got > 0) {
-            if (events.on_bytes) events.on_bytes({buffer.data(), static_cast<std::size_t>(got)});
-            if (static_cast<std::size_t>(got) < buffer.size()) return;
+        auto const count = recv(watch->fd, buffer.data(), buffer.size(), 0);
+        if (count > 0) {
+            if (events.on_bytes) events.on_bytes({buffer.data(), static_cast<std::size_t>(count)});
+            if (static_cast<std::size_t>(count) < buffer.size()) return;
             continue;
         }
-        if (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) return;
-        end(got == 0 ? stream_end::closed : connecting ? stream_end::connect_failed : stream_end::reset);
+        if (count < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) return;
+        end(count == 0 ? stream_end::closed : connecting ? stream_end::connect_failed : stream_end::reset);
         return;
     }
 }
 
-void tcp_stream::impl::write_some()
+void tcp_stream::impl::on_writable()
 {
     if (ended) return;
     auto const keep = shared_from_this();
@@ -118,7 +118,7 @@
         if (ended) return;
     }
     if (pending_from < pending.size()) {
-        pending_from += push(std::string_view(pending).substr(pending_from));
+        pending_from += send_now(std::string_view(pending).substr(pending_from));
         if (ended) return;
         if (pending_from < pending.size()) {
             watch->want_write();
@@ -130,17 +130,17 @@
     }
 }
 
-std::size_t tcp_stream::impl::push(std::string_view bytes)
+std::size_t tcp_stream::impl::send_now(std::string_view bytes)
 {
     std::size_t sent = 0;
     while (sent < bytes.size()) {
-        auto const took = ::send(watch->fd, bytes.data() + sent, bytes.size() - sent, MSG_NOSIGNAL);
-        if (took > 0) {
-            watch->loop->uplink.record_sent(static_cast<std::size_t>(took), watch->loop->now);
-            sent += static_cast<std::size_t>(took);
+        auto const accepted = ::send(watch->fd, bytes.data() + sent, bytes.size() - sent, MSG_NOSIGNAL);
+        if (accepted > 0) {
+            watch->loop->uplink.record_sent(static_cast<std::size_t>(accepted), watch->loop->now);
+            sent += static_cast<std::size_t>(accepted);
             continue;
         }
-        if (took < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) break;
+        if (accepted < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) break;
         break; // The read side reports the error, with any bytes that arrived before it.
     }
     return sent;
@@ -188,7 +188,7 @@
 {
     if (m_impl->ended) return;
     std::size_t sent = 0;
-    if (!m_impl->connecting && m_impl->pending.empty()) sent = m_impl->push(bytes);
+    if (!m_impl->connecting && m_impl->pending.empty()) sent = m_impl->send_now(bytes);
     if (sent == bytes.size()) return;
     m_impl->pending.append(bytes.substr(sent));
     if (!m_impl->connecting) m_impl->watch->want_write();
--- a/tests/test_http_message.cpp
+++ b/tests/test_http_message.cpp
@@ -11,9 +11,9 @@
 parse_state read_all(message_reader& reader, std::string const& bytes, std::size_t step)
 {
     for (std::size_t at = 0; at < bytes.size() && reader.state() == parse_state::incomplete; at += step) {
-        std::string_view piece = std::string_view(bytes).substr(at, step);
-        while (!piece.empty() && reader.state() == parse_state::incomplete)
-            piece.remove_prefix(reader.feed(piece));
+        std::string_view chunk = std::string_view(bytes).substr(at, step);
+        while (!chunk.empty() && reader.state() == parse_state::incomplete)
+            chunk.remove_prefix(reader.feed(chunk));
     }
     return reader.state();
 }
--- a/tests/test_settings.cpp
+++ b/tests/test_settings.cpp
@@ -14,7 +14,7 @@
 };
 
 /** @return the message of the bad_settings error that loading @p text raises. */
-std::string refusal(std::string const& text, std::vector<std::string> const& overrides = {})
+std::string load_error(std::string const& text, std::vector<std::string> const& overrides = {})
 {
     try {
         load_settings(text, overrides, table, "test.toml");
@@ -60,6 +60,6 @@
     };
     for (auto const& item : cases) {
         CAPTURE(item.text);
-        CHECK(refusal(item.text).find(item.key_named) != std::string::npos);
+        CHECK(load_error(item.text).find(item.key_named) != std::string::npos);
     }
 }
