--- a/include/cornelspring/base.hpp
+++ b/include/cornelspring/base.hpp
@@ -58,7 +58,7 @@
 /** Id of a lease in the store. */
 using lease_id = strong_id<struct lease_id_tag, std::int64_t>;
 
-/** Kinds of error. Each maps to one HTTP status and suggests one kind of remedy. */
+/** Kinds of error. Each has one HTTP status and one kind of remedy. */
 enum class error_kind {
     bad_settings,    ///< A settings file or command line is invalid; the process does not start.
     bad_request,     ///< A request is malformed; nothing was changed.
@@ -115,8 +115,7 @@
 /** Where log lines are written. */
 enum class log_target {
     standard_error, ///< For tools, which print their results on standard output.
-    standard_output ///< For servers. Never blocks: unwritten lines are buffered up to a limit, then dropped and
-                    ///< counted.
+    standard_output ///< For servers. Never blocks; lines beyond a buffer limit are dropped and counted.
 };
 
 /**
--- a/include/cornelspring/net.hpp
+++ b/include/cornelspring/net.hpp
@@ -248,8 +248,7 @@
     bool started() const;
     /** @return whether the headers of the current message are complete. */
     bool headers_done() const;
-    /** @return whether the message has a Content-Length or is chunked, so that its end does not depend on the
-     * connection's. */
+    /** @return whether the message has a Content-Length or is chunked, and so can end before the connection does. */
     bool has_length() const;
     /** @return whether the connection stays open after the message. */
     bool keep_alive() const;
--- a/src/base/cli.cpp
+++ b/src/base/cli.cpp
@@ -1,4 +1,4 @@
-/** @file cli.cpp Command line of every binary, parsed with popt. */
+/** @file cli.cpp Command line options and common main function of the binaries, with popt. */
 #include <cornelspring/base.hpp>
 #include <cornelspring_version.hpp>
 
@@ -10,7 +10,7 @@
 namespace cornelspring {
 namespace {
 
-/** Option values popt writes into. */
+/** Codes that poptGetNextOpt() returns for the options that need an action. */
 enum option_code { opt_set = 1, opt_version, opt_settings_help };
 
 } // namespace
@@ -23,11 +23,12 @@
     char* set_value = nullptr;
     char* log_level = nullptr;
     poptOption table[] = {
-        {"config", 'c', POPT_ARG_STRING, &config, 0, "TOML settings file", "FILE"},
-        {"set", 's', POPT_ARG_STRING, &set_value, opt_set, "override one setting (repeatable)", "KEY=VALUE"},
-        {"log-level", 'l', POPT_ARG_STRING, &log_level, 0, "trace, debug, info, warn or error", "LEVEL"},
+        {"config", 'c', POPT_ARG_STRING, &config, 0, "read settings from this TOML file", "FILE"},
+        {"set", 's', POPT_ARG_STRING, &set_value, opt_set, "override a setting (may be repeated)", "KEY=VALUE"},
+        {"log-level", 'l', POPT_ARG_STRING, &log_level, 0, "lowest level logged: trace, debug, info, warn or error",
+         "LEVEL"},
         {"version", 'V', POPT_ARG_NONE, nullptr, opt_version, "print the version and exit", nullptr},
-        {"settings-help", 0, POPT_ARG_NONE, nullptr, opt_settings_help, "list every setting and exit", nullptr},
+        {"settings-help", 0, POPT_ARG_NONE, nullptr, opt_settings_help, "list all settings and exit", nullptr},
         POPT_AUTOHELP POPT_TABLEEND};
     std::unique_ptr<poptContext_s, decltype(&poptFreeContext)> context(
         poptGetContext(program.c_str(), argc, argv, table, 0), &poptFreeContext);
@@ -49,7 +50,7 @@
     if (code < -1) {
         throw error(error_kind::bad_settings,
                     std::string(poptBadOption(context.get(), POPT_BADOPTION_NOALIAS)) + ": " + poptStrerror(code),
-                    "Run '" + program + " --help' for the options.");
+                    "Run '" + program + " --help' for a list of options.");
     }
     if (config != nullptr) {
         options.config_path = config;
@@ -74,7 +75,7 @@
             text = read_file(options.config_path);
         } catch (error const&) {
             throw error(error_kind::bad_settings, "cannot read settings file '" + options.config_path + "'.",
-                        "Check the path given to --config.");
+                        "Check the path given with --config.");
         }
         source = options.config_path;
     }
--- a/src/base/errors.cpp
+++ b/src/base/errors.cpp
@@ -1,4 +1,4 @@
-/** @file errors.cpp Error kinds, their names and HTTP statuses; endpoints and small file helpers. */
+/** @file errors.cpp Names and HTTP statuses of error kinds, invariant checks, endpoints and file helpers. */
 #include <cornelspring/base.hpp>
 
 #include <atomic>
@@ -49,7 +49,7 @@
 }
 
 namespace {
-/** Violations counted by check_invariant(). */
+/** Number of violations found by check_invariant(). */
 std::atomic<std::uint64_t> g_violations{0};
 } // namespace
 
@@ -57,7 +57,7 @@
 {
     if (holds) return;
     ++g_violations;
-    LOG4CPLUS_ERROR(get_logger("invariant"), "violated: " << what);
+    LOG4CPLUS_ERROR(get_logger("invariant"), "invariant violated: " << what);
 }
 
 std::uint64_t invariant_violations() { return g_violations; }
@@ -86,7 +86,7 @@
     auto const* last = text.data() + text.size();
     auto const [ptr, ec] = std::from_chars(first, last, port);
     if (ec != std::errc{} || ptr != last || port > 65535) {
-        throw error(error_kind::bad_request, "address '" + text + "' has a bad port.",
+        throw error(error_kind::bad_request, "address '" + text + "' has an invalid port.",
                     "Use a port number from 0 to 65535.");
     }
     return endpoint{host, static_cast<std::uint16_t>(port)};
--- a/src/base/logging.cpp
+++ b/src/base/logging.cpp
@@ -1,4 +1,4 @@
-/** @file logging.cpp JSON-lines layout for log4cplus and the set-up of the root logger. */
+/** @file logging.cpp JSON Lines layout and non-blocking appender for log4cplus; set-up of the root logger. */
 #include <cornelspring/base.hpp>
 
 #include <chrono>
@@ -18,19 +18,19 @@
 namespace cornelspring {
 namespace {
 
-/** Name of the program written into every record. */
+/** Program name written into every record. */
 std::string g_program;
 
 /** A log4cplus layout that writes each event as one JSON object on one line. */
 class json_layout : public log4cplus::Layout {
 public:
-    /** Formats @p event to @p out. @param out stream. @param event the record. */
+    /** Writes @p event to @p out. @param out stream. @param event the record. */
     void formatAndAppend(log4cplus::tostream& out, log4cplus::spi::InternalLoggingEvent const& event) override
     {
         auto const since_epoch = event.getTimestamp().time_since_epoch();
         auto const micros = std::chrono::duration_cast<std::chrono::microseconds>(since_epoch).count();
         auto const& message = event.getMessage();
-        if (!message.empty() && message.front() == '{') { // Already the fields of a structured record.
+        if (!message.empty() && message.front() == '{') { // The message is already a JSON object.
             out << "{\"ts\":" << micros / 1000000 << '.' << std::setw(6) << std::setfill('0') << micros % 1000000 << ","
                 << message.substr(1) << '\n';
             return;
@@ -47,19 +47,19 @@
 };
 
 /**
- * A log4cplus appender that writes lines to a descriptor without ever blocking: what the descriptor does not take
- * now is kept up to a bound and sent with later lines; beyond the bound lines are dropped and counted.
+ * A log4cplus appender that never blocks. Lines that the descriptor does not accept are buffered up to a limit and
+ * written together with later ones; lines beyond the limit are dropped and counted.
  */
 class nonblocking_appender : public log4cplus::Appender {
 public:
-    /** @param fd descriptor; made non-blocking. */
+    /** @param fd descriptor, which is set to non-blocking mode. */
     explicit nonblocking_appender(int fd) : m_fd(fd) { fcntl(fd, F_SETFL, fcntl(fd, F_GETFL, 0) | O_NONBLOCK); }
     ~nonblocking_appender() override { destructorImpl(); }
-    /** Nothing is held open. */
+    /** Marks the appender closed; the descriptor stays open. */
     void close() override { closed = true; }
 
 protected:
-    /** Writes @p event or keeps it for later. @param event the record. */
+    /** Writes @p event, buffers it or drops it. @param event the record. */
     void append(log4cplus::spi::InternalLoggingEvent const& event) override
     {
         auto const& line = formatEvent(event);
@@ -77,11 +77,11 @@
     }
 
 private:
-    /** Bytes kept for a reader that is behind: some thousand lines. */
+    /** Limit on buffered bytes, for a slow reader; a few thousand lines. */
     static constexpr std::size_t unwritten_limit = 512 * 1024;
-    int m_fd;                    ///< Target.
+    int m_fd;                    ///< Descriptor written to.
     std::string m_unwritten;     ///< Lines not yet written.
-    std::uint64_t m_dropped = 0; ///< Lines dropped since the last report.
+    std::uint64_t m_dropped = 0; ///< Lines dropped since this was last logged.
 };
 
 /** @return the log4cplus level for @p name. @param name level name. */
--- a/src/base/settings.cpp
+++ b/src/base/settings.cpp
@@ -1,4 +1,4 @@
-/** @file settings.cpp Loading TOML settings and checking them against a table of declarations. */
+/** @file settings.cpp Loads TOML settings and checks them against their declarations. */
 #include <cornelspring/base.hpp>
 
 #include <sstream>
@@ -8,10 +8,10 @@
 namespace cornelspring {
 namespace {
 
-/** Leaf values of a TOML document by dotted key. */
+/** Leaf values of TOML documents by dotted key. */
 using flat_table = std::map<std::string, toml::node const*>;
 
-/** Adds every leaf of @p table to @p out under @p prefix. */
+/** Adds all leaf values of @p table to @p out, with @p prefix before their keys. */
 void flatten(toml::table const& table, std::string const& prefix, flat_table& out)
 {
     for (auto const& [key, node] : table) {
@@ -24,7 +24,7 @@
     }
 }
 
-/** @return the TOML type name expected for @p type. */
+/** @return the name of @p type in help texts and error messages. */
 std::string type_name(setting_type type)
 {
     switch (type) {
@@ -38,7 +38,7 @@
     return "a value";
 }
 
-/** @return @p node converted to @p def's type, or nothing when it has another type. */
+/** @return @p node converted to the type of @p def, or nothing if it has another type. */
 std::optional<setting_value> convert(toml::node const& node, setting_def const& def)
 {
     switch (def.type) {
@@ -79,7 +79,7 @@
     return std::nullopt;
 }
 
-/** Refuses a number outside the declared range. */
+/** @throw error bad_settings when a number in @p value is outside the range of @p def. */
 void check_range(setting_def const& def, setting_value const& value, std::string const& source)
 {
     if (def.min == def.max) return;
@@ -89,7 +89,7 @@
             text << source << ": '" << def.key << "' is " << number << ", outside " << def.min << " to " << def.max
                  << ".";
             throw error(error_kind::bad_settings, text.str(),
-                        "Set '" + def.key + "' within the range (" + def.help + ").");
+                        "Set '" + def.key + "' to a value within this range (" + def.help + ").");
         }
     };
     if (auto const* i = std::get_if<std::int64_t>(&value)) check(static_cast<double>(*i));
@@ -108,7 +108,7 @@
     } catch (toml::parse_error const& failure) {
         std::ostringstream where;
         where << source << ":" << failure.source().begin.line << ": " << failure.description();
-        throw error(kind, where.str(), "Fix the TOML syntax at that line.");
+        throw error(kind, where.str(), "Correct the TOML syntax of that line.");
     }
 }
 
@@ -133,7 +133,7 @@
     for (auto const& [key, node] : leaves) {
         if (by_key.count(key) == 0) {
             throw error(error_kind::bad_settings, source + ": unknown key '" + key + "'.",
-                        "Remove it or correct its spelling; --settings-help lists every key.");
+                        "Remove the key or correct its spelling; --settings-help lists all keys.");
         }
     }
     settings result;
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -1,4 +1,4 @@
-/** @file event_loop.cpp libwebsockets as the poll loop of one thread, and its timers. */
+/** @file event_loop.cpp Event loop on libwebsockets: descriptors, timers and signals. */
 #include "event_loop_impl.hpp"
 
 #include "socket.hpp"
@@ -11,17 +11,17 @@
 namespace cornelspring {
 namespace {
 
-/** Write end of the signal pipe; a signal handler may only use this. */
+/** Write end of the signal pipe; the only state used by the signal handler. */
 int g_signal_pipe = -1;
 
-/** Passes a signal number to the loop. */
+/** Signal handler: writes the signal number to the pipe that the loop reads. */
 void forward_signal(int number)
 {
     auto const byte = static_cast<unsigned char>(number);
     [[maybe_unused]] auto const written = write(g_signal_pipe, &byte, 1);
 }
 
-/** libwebsockets' callback for every registered descriptor. */
+/** Callback of libwebsockets for all registered descriptors. */
 int on_lws_event(lws* wsi, lws_callback_reasons reason, void*, void*, std::size_t)
 {
     auto* watch = static_cast<descriptor_watch*>(lws_get_opaque_user_data(wsi));
@@ -48,7 +48,7 @@
 lws_protocols const loop_protocols[] = {{"descriptor", on_lws_event, 0, 0, 0, nullptr, 0},
                                         {nullptr, nullptr, 0, 0, 0, nullptr, 0}};
 
-/** Runs the timers that are due. */
+/** Callback of libwebsockets when `wakeup` expires. */
 void on_timer(lws_sorted_usec_list_t* list)
 {
     auto* wakeup = lws_container_of(list, event_loop::impl::wakeup_timer, list);
--- a/src/net/http_message.cpp
+++ b/src/net/http_message.cpp
@@ -9,28 +9,28 @@
 
 namespace cornelspring {
 
-/** State of a message reader. */
+/** Implementation of message_reader. */
 struct message_reader::impl {
     http_parser parser{};         ///< Parser state.
     kind what;                    ///< Requests or responses.
-    message_limits limits;        ///< Limits.
+    message_limits limits;        ///< Size limits.
     parse_state state{};          ///< Progress.
     http_request request;         ///< Request being read.
     http_response response;       ///< Response being read.
-    std::size_t header_bytes = 0; ///< Bytes read before the headers were complete.
-    bool started = false;         ///< A byte of this message was read.
+    std::size_t header_bytes = 0; ///< Bytes counted against max_header_bytes.
+    bool started = false;         ///< A byte of this message has been read.
     bool headers_done = false;    ///< Headers complete.
-    bool value_started = false;   ///< The last header field got its value.
-    bool keep_alive = false;      ///< Connection stays open after the message.
-    bool has_length = false;      ///< Content-Length or chunked.
-    bool no_body = false;         ///< Response to HEAD.
-    bool interim = false;         ///< The present response is a 1xx.
+    bool value_started = false;   ///< Part of the last header's value has been read.
+    bool keep_alive = false;      ///< The connection stays open after the message.
+    bool has_length = false;      ///< It has a Content-Length or is chunked.
+    bool no_body = false;         ///< It is the response to a HEAD request.
+    bool interim = false;         ///< The response being read is a 1xx.
 
     /** @return the headers of the message being read. */
     std::vector<http_header>& headers() { return what == kind::request ? request.headers : response.headers; }
     /** @return the body of the message being read. */
     std::string& body() { return what == kind::request ? request.body : response.body; }
-    /** Forgets the message read, and parses the next. */
+    /** Discards the message and prepares to parse the next. */
     void restart()
     {
         http_parser_init(&parser, what == kind::request ? HTTP_REQUEST : HTTP_RESPONSE);
@@ -48,7 +48,7 @@
 
 using reader_state = message_reader::impl;
 
-/** @return the reader behind @p parser. */
+/** @return the reader that owns @p parser. */
 reader_state& state_of(http_parser* parser) { return *static_cast<reader_state*>(parser->data); }
 
 /** Appends @p text in lower case to @p out. */
@@ -59,10 +59,10 @@
     }
 }
 
-/** Bytes of a header line beside name and value: colon, space and line end. */
+/** Bytes of a header line other than name and value: colon, space and CRLF. */
 constexpr std::size_t header_line_overhead = 4;
 
-/** Counts header bytes. @return 0, or what stops the parser when they exceed the limit. */
+/** Counts header bytes. @return 0, or -1 to stop the parser when they exceed the limit. */
 int count_header_bytes(reader_state& reader, std::size_t length)
 {
     reader.header_bytes += length;
@@ -71,13 +71,13 @@
     return -1;
 }
 
-/** @return whether a header named @p name is there. */
+/** @return whether @p headers contains @p name. @param name lower-case name. */
 bool has_header(std::vector<http_header> const& headers, std::string_view name)
 {
     return std::any_of(headers.begin(), headers.end(), [name](http_header const& each) { return each.name == name; });
 }
 
-/** Appends to the request target. */
+/** Parser callback: appends to the request target. */
 int on_url(http_parser* parser, char const* at, std::size_t length)
 {
     auto& reader = state_of(parser);
@@ -85,7 +85,7 @@
     return count_header_bytes(reader, length);
 }
 
-/** Appends to a header name. */
+/** Parser callback: appends to a header name. */
 int on_field(http_parser* parser, char const* at, std::size_t length)
 {
     auto& reader = state_of(parser);
@@ -96,7 +96,7 @@
     return count_header_bytes(reader, length);
 }
 
-/** Appends to a header value. */
+/** Parser callback: appends to a header value. */
 int on_value(http_parser* parser, char const* at, std::size_t length)
 {
     auto& reader = state_of(parser);
@@ -106,14 +106,15 @@
     return count_header_bytes(reader, length + overhead);
 }
 
-/** Notes what the headers say of the body and the connection. */
+/** Parser callback at the end of the headers: checks them and reads the framing of the body. */
 int on_headers(http_parser* parser)
 {
     auto& reader = state_of(parser);
-    // Two ways to say where the body ends invite request smuggling; the parser alone lets some combinations pass.
+    // A message with both Transfer-Encoding and Content-Length enables request smuggling, as its readers may disagree
+    // on where the body ends. The parser alone accepts some of these messages.
     bool const ambiguous =
         has_header(reader.headers(), "transfer-encoding") && has_header(reader.headers(), "content-length");
-    // Debian's build of the parser takes a space in a name for part of it.
+    // Debian's build of the parser accepts spaces in header names.
     bool const bad_name = std::any_of(reader.headers().begin(), reader.headers().end(), [](http_header const& each) {
         return each.name.find_first_of(" \t") != std::string::npos;
     });
@@ -124,7 +125,7 @@
     reader.headers_done = true;
     reader.has_length = (parser->flags & (F_CHUNKED | F_CONTENTLENGTH)) != 0;
     if (reader.what == message_reader::kind::request) {
-        if (parser->method != HTTP_CONNECT) parser->upgrade = 0; // An offer to upgrade may be ignored (RFC 9110, 7.8).
+        if (parser->method != HTTP_CONNECT) parser->upgrade = 0; // A server may ignore Upgrade (RFC 9110, 7.8).
         reader.request.method = http_method_str(static_cast<http_method>(parser->method));
     } else {
         reader.interim = parser->status_code / 100 == 1;
@@ -139,7 +140,7 @@
     return reader.no_body ? 1 : 0;
 }
 
-/** Appends to the body. */
+/** Parser callback: appends to the body. */
 int on_body(http_parser* parser, char const* at, std::size_t length)
 {
     auto& reader = state_of(parser);
@@ -151,11 +152,11 @@
     return 0;
 }
 
-/** Ends the message and pauses, so that the bytes after it stay unread. */
+/** Parser callback at the end of a message: pauses the parser, so that it does not consume the next message. */
 int on_complete(http_parser* parser)
 {
     auto& reader = state_of(parser);
-    if (reader.interim) { // 100 Continue and its kin come before the response proper.
+    if (reader.interim) { // 1xx responses precede the final response.
         reader.response = {};
         reader.headers_done = reader.value_started = reader.interim = false;
         return 0;
@@ -181,7 +182,7 @@
 
 http_parser_settings const callbacks = make_callbacks();
 
-/** Headers that concern one connection only (RFC 9110, 7.6.1), and the length that serialisation sets anew. */
+/** Hop-by-hop headers (RFC 9110, 7.6.1), and Content-Length, which serialize() sets, and Expect. */
 constexpr std::array<std::string_view, 9> hop_by_hop_names = {"connection", "keep-alive",     "proxy-connection",
                                                               "te",         "trailer",        "transfer-encoding",
                                                               "upgrade",    "content-length", "expect"};
--- a/src/net/lws_log.cpp
+++ b/src/net/lws_log.cpp
@@ -1,4 +1,4 @@
-/** @file lws_log.cpp libwebsockets' own log lines, passed on to log4cplus. */
+/** @file lws_log.cpp Forwards the log lines of libwebsockets to log4cplus. */
 #include "socket.hpp"
 
 #include <libwebsockets.h>
@@ -6,7 +6,7 @@
 namespace cornelspring {
 namespace detail {
 
-/** Routes libwebsockets' own log lines into log4cplus. */
+/** Log callback of libwebsockets: forwards @p line without its line end. */
 void emit_lws_log(int level, char const* line)
 {
     auto logger = get_logger("transport.lws");
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -1,4 +1,4 @@
-/** @file socket.cpp Plain socket helpers, the task queue, response helpers and stop signals. */
+/** @file socket.cpp Socket helpers, the task queue and helpers for HTTP requests and responses. */
 #include "socket.hpp"
 
 #include <cornelspring/net.hpp>
@@ -18,7 +18,7 @@
 namespace detail {
 namespace {
 
-/** @return the resolved address of @p where. */
+/** @return the addresses of @p where, to be freed with freeaddrinfo(), or null. @param passive for listening. */
 addrinfo* resolve(endpoint const& where, bool passive)
 {
     addrinfo hints{};
@@ -58,7 +58,7 @@
         std::string const reason = std::strerror(errno);
         close(fd);
         throw error(error_kind::unavailable, "cannot listen on " + where.to_string() + ": " + reason + ".",
-                    "Choose a free port, or port 0 to pick one.");
+                    "Choose a free port, or port 0 to let the system choose one.");
     }
     tune_socket(fd);
     return fd;
@@ -75,7 +75,7 @@
     return ntohs(reinterpret_cast<sockaddr_in*>(&address)->sin_port);
 }
 
-/** @return a connecting socket to a numeric IPv4 address, or -1. @param host address. @param port port. */
+/** @return a socket that is connecting to an IPv4 address, or -1 on failure. @param host address. @param port port. */
 int connect_ipv4(in_addr host, std::uint16_t port)
 {
     sockaddr_in address{};
@@ -95,7 +95,7 @@
 
 int connect_tcp(endpoint const& peer)
 {
-    // A numeric IPv4 address, the usual case, needs no resolver.
+    // Numeric IPv4 addresses, the usual case, are not passed to the resolver.
     in_addr numeric{};
     if (inet_pton(AF_INET, peer.host.c_str(), &numeric) == 1) return connect_ipv4(numeric, peer.port);
     addrinfo* found = resolve(peer, false);
@@ -114,7 +114,7 @@
 task_queue::task_queue()
 {
     if (pipe(m_pipe) != 0) {
-        throw error(error_kind::internal, "cannot create a pipe.", "Raise the limit of open files.");
+        throw error(error_kind::internal, "cannot create the wake-up pipe.", "Raise the limit of open files.");
     }
     fcntl(m_pipe[0], F_SETFL, O_NONBLOCK);
     fcntl(m_pipe[1], F_SETFL, O_NONBLOCK);
--- a/src/net/tcp_stream.cpp
+++ b/src/net/tcp_stream.cpp
@@ -11,41 +11,41 @@
 
 namespace cornelspring {
 
-/** State of a stream, shared with the loop while the descriptor is registered. */
+/** Implementation of a stream. Callbacks registered with the loop refer to it weakly. */
 struct tcp_stream::impl : std::enable_shared_from_this<tcp_stream::impl> {
-    std::shared_ptr<descriptor_watch> watch = std::make_shared<descriptor_watch>(); ///< Registration.
-    stream_events events;                                                           ///< Owner's hooks.
-    std::string pending;                                                            ///< Bytes not yet sent.
-    std::size_t pending_from = 0;                                                   ///< First unsent byte of pending.
-    bool connecting = false;                                                        ///< Not yet established.
-    bool ended = false; ///< on_end was or will not be called.
-
-    /** Registers @p fd. */
+    std::shared_ptr<descriptor_watch> watch = std::make_shared<descriptor_watch>(); ///< Registration with the loop.
+    stream_events events;                                                           ///< Callbacks to the owner.
+    std::string pending;                                                            ///< Bytes waiting to be sent.
+    std::size_t pending_from = 0; ///< Offset of the first unsent byte in pending.
+    bool connecting = false;      ///< The connection is not established yet.
+    bool ended = false;           ///< on_end was called, or the owner destroyed the stream.
+
+    /** Sets the options of @p fd and registers it with @p loop. */
     void start(event_loop& loop, int fd, stream_options const& options);
-    /** Reads what has arrived and reports it. */
+    /** Reads bytes and passes them to the owner. */
     void on_readable();
-    /** Goes on connecting or sending. */
+    /** Continues connecting or sending. */
     void on_writable();
-    /** Sends @p bytes until the socket takes no more. @return bytes taken. */
+    /** Writes @p bytes until the socket accepts no more. @return the number of bytes accepted. */
     std::size_t send_now(std::string_view bytes);
-    /** Reports the end once. */
+    /** Closes the connection and reports its end, once. */
     void end(stream_end how);
 };
 
 namespace {
 
-/** Bytes read by one call; a larger buffer only helps bodies beyond this. */
+/** Bytes read by one recv(); a larger buffer would only help bodies larger than this. */
 constexpr std::size_t read_size = 64 * 1024;
-/** Read calls of one event before other descriptors get their turn. */
+/** Calls of recv() per event, so that one stream does not delay other descriptors. */
 constexpr int reads_per_event = 4;
-/** Connections accepted by one event before other descriptors get their turn. */
+/** Connections accepted per event, so that a listener does not delay other descriptors. */
 constexpr int accepts_per_event = 32;
-/** Seconds between keep-alive probes; with keep_alive_probes, a silent peer is found in about four seconds. */
+/** Seconds between keep-alive probes; with keep_alive_probes, an unreachable peer is detected in about 4 s. */
 constexpr int keep_alive_interval_s = 1;
-/** Unanswered keep-alive probes that end a connection. */
+/** Number of lost keep-alive probes that end a connection. */
 constexpr int keep_alive_probes = 3;
 
-/** Sets an integer socket option; a refusal is harmless, as every wait has a timer of its own. */
+/** Sets an integer socket option. Errors are ignored, as all waits have timers of their own. */
 void set_option(int fd, int level, int name, int value) { setsockopt(fd, level, name, &value, sizeof value); }
 
 /** Applies @p options to @p fd. */
@@ -141,7 +141,7 @@
             continue;
         }
         if (accepted < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) break;
-        break; // The read side reports the error, with any bytes that arrived before it.
+        break; // recv() reports the error, after any bytes received before it.
     }
     return sent;
 }
@@ -180,7 +180,7 @@
 tcp_stream::~tcp_stream()
 {
     bool const was_open = !m_impl->ended;
-    m_impl->ended = true; // The hooks stay in place: one of them may be running now. None is called any more.
+    m_impl->ended = true; // Keeps the callbacks, as one may be running now; none is called after this.
     if (was_open) m_impl->watch->close();
 }
 
@@ -231,7 +231,7 @@
         }
     };
     if (!loop.state().watch(m_impl->watch)) {
-        throw error(error_kind::internal, "cannot watch the listening socket.", "Raise the limit of open files.");
+        throw error(error_kind::internal, "cannot register the listening socket.", "Raise the limit of open files.");
     }
 }
 
--- a/src/net/uplink_backlog.cpp
+++ b/src/net/uplink_backlog.cpp
@@ -1,4 +1,4 @@
-/** @file uplink_backlog.cpp How long bytes wait at this VM's own link. */
+/** @file uplink_backlog.cpp Estimate of the queueing delay at this VM's uplink. */
 #include <cornelspring/net.hpp>
 
 #include <algorithm>
--- a/tests/test_http_message.cpp
+++ b/tests/test_http_message.cpp
@@ -1,4 +1,4 @@
-/** @file test_http_message.cpp Strict reading of HTTP/1.1 messages, as tables. */
+/** @file test_http_message.cpp Tests of strict HTTP/1.1 parsing and of hop-by-hop headers. */
 #include <cornelspring/net.hpp>
 
 #include <doctest/doctest.h>
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** @return the state after reading @p bytes, given @p step at a time. */
+/** @return the state after feeding @p bytes to @p reader, @p step bytes at a time. */
 parse_state read_all(message_reader& reader, std::string const& bytes, std::size_t step)
 {
     for (std::size_t at = 0; at < bytes.size() && reader.state() == parse_state::incomplete; at += step) {
@@ -20,7 +20,7 @@
 
 } // namespace
 
-TEST_CASE("http: requests that must be refused, however they arrive")
+TEST_CASE("http: valid and invalid requests are recognised, however they are split")
 {
     struct row {
         std::string name;
@@ -60,7 +60,7 @@
     }
 }
 
-TEST_CASE("http: a message ends where its length says, and the rest stays unread")
+TEST_CASE("http: a message ends at its Content-Length, and bytes after it are not consumed")
 {
     message_reader reader(message_reader::kind::response);
     std::string const first = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab";
@@ -73,7 +73,7 @@
     CHECK(reader.response().body == "c");
 }
 
-TEST_CASE("http: a response without a length is whole only when its connection ends in order")
+TEST_CASE("http: a response without a length is complete only when the connection is closed normally")
 {
     message_reader reader(message_reader::kind::response);
     reader.feed("HTTP/1.1 200 OK\r\n\r\nabc");
@@ -88,7 +88,7 @@
     }
 }
 
-TEST_CASE("http: a response that ends early never looks complete")
+TEST_CASE("http: a truncated response is never complete")
 {
     for (char const* bytes : {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc", "HTTP/1.1 200 OK\r\nContent-",
                               "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n"}) {
@@ -99,7 +99,7 @@
     }
 }
 
-TEST_CASE("http: an interim response is no answer")
+TEST_CASE("http: an interim response is not the final response")
 {
     message_reader reader(message_reader::kind::response);
     std::string const bytes = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nX: y\r\nContent-Length: 1\r\n\r\na";
@@ -108,7 +108,7 @@
     CHECK(reader.response().header("x") == "y");
 }
 
-TEST_CASE("http: headers of one connection are not forwarded")
+TEST_CASE("http: hop-by-hop headers are removed")
 {
     std::vector<http_header> headers = {
         {"connection", "close, X-A"}, {"x-a", "1"}, {"x-b", "2"}, {"te", "trailers"}, {"content-length", "3"},
--- a/tests/test_settings.cpp
+++ b/tests/test_settings.cpp
@@ -1,4 +1,4 @@
-/** @file test_settings.cpp Checking settings: unknown keys, types, ranges, required keys, overrides. */
+/** @file test_settings.cpp Tests of loading settings: defaults, overrides, and errors in keys, types and ranges. */
 #include <cornelspring/base.hpp>
 
 #include <doctest/doctest.h>
@@ -13,7 +13,7 @@
     {"shards", setting_type::integer_list, setting_value{std::vector<std::int64_t>{}}, 0, 10, "shards"},
 };
 
-/** @return the message of the bad_settings error that loading @p text raises. */
+/** @return the message of the bad_settings error thrown when loading @p text, or "" if none is thrown. */
 std::string load_error(std::string const& text, std::vector<std::string> const& overrides = {})
 {
     try {
@@ -28,7 +28,7 @@
 
 } // namespace
 
-TEST_CASE("settings take defaults and values of the file")
+TEST_CASE("settings: values come from the file or the defaults")
 {
     auto const loaded = load_settings("name = \"a\"\n[listen]\nport = 9000\n", {}, table, "test.toml");
     CHECK(loaded.integer("listen.port") == 9000);
@@ -36,14 +36,14 @@
     CHECK(loaded.integer_list("shards").empty());
 }
 
-TEST_CASE("overrides from --set win over the file")
+TEST_CASE("settings: overrides from --set take precedence over the file")
 {
     auto const loaded = load_settings("name = \"a\"\n", {"listen.port=1", "shards=[1,2]"}, table, "test.toml");
     CHECK(loaded.integer("listen.port") == 1);
     CHECK(loaded.integer_list("shards").size() == 2);
 }
 
-TEST_CASE("bad settings are refused with the key named")
+TEST_CASE("settings: errors name the key")
 {
     struct fault_case {
         char const* text;
--- a/tests/test_tcp_stream.cpp
+++ b/tests/test_tcp_stream.cpp
@@ -1,4 +1,4 @@
-/** @file test_tcp_stream.cpp Bytes over a TCP stream on the event loop. */
+/** @file test_tcp_stream.cpp Sending bytes over a TCP stream on the event loop. */
 #include <cornelspring/net.hpp>
 
 #include <doctest/doctest.h>
@@ -6,7 +6,7 @@
 using namespace cornelspring;
 using namespace std::chrono_literals;
 
-TEST_CASE("stream: a message many times larger than the socket takes at once arrives whole")
+TEST_CASE("stream: a message much larger than the socket's send buffer arrives complete")
 {
     event_loop loop;
     std::string const large(48 << 20, 'x');
