--- a/include/cornelspring/coordination.hpp
+++ b/include/cornelspring/coordination.hpp
@@ -255,13 +255,13 @@
 
 /** Outcome of a scatter-gather. */
 struct gather_result {
-    std::optional<query_answer> response; ///< The response, when at least one shard responded.
-    std::optional<error> failure;         ///< Reason for the failure otherwise.
-    int retry_after_s = 0;                ///< For failures: seconds after which the caller may retry.
-    std::int32_t attempts = 0;            ///< Shard requests submitted (first attempts, retries and hedges).
-    std::int32_t sent = 0;                ///< Of those, requests that left this process (may have run).
-    std::int32_t retries = 0;             ///< Requests sent after a failure.
-    std::int32_t hedges = 0;              ///< Requests sent while another for the same shard was in flight.
+    std::optional<query_response> response; ///< The response, when at least one shard responded.
+    std::optional<error> failure;           ///< Reason for the failure otherwise.
+    int retry_after_s = 0;                  ///< For failures: seconds after which the caller may retry.
+    std::int32_t attempts = 0;              ///< Shard requests submitted (first attempts, retries and hedges).
+    std::int32_t sent = 0;                  ///< Of those, requests that left this process (may have run).
+    std::int32_t retries = 0;               ///< Requests sent after a failure.
+    std::int32_t hedges = 0;                ///< Requests sent while another for the same shard was in flight.
 };
 
 /** Settings of scatter-gather. */
@@ -367,9 +367,9 @@
 
 /** Outcome of a non-idempotent request. */
 struct write_result {
-    std::optional<write_answer> response; ///< Its result, if it ran (now or for an earlier submission).
-    std::optional<error> failure;         ///< Otherwise not_run, unavailable, conflict or outcome_unknown.
-    int retry_after_s = 0;                ///< Seconds after which the caller may retry.
+    std::optional<write_response> response; ///< Its result, if it ran (now or for an earlier submission).
+    std::optional<error> failure;           ///< Otherwise not_run, unavailable, conflict or outcome_unknown.
+    int retry_after_s = 0;                  ///< Seconds after which the caller may retry.
 };
 
 /**
--- a/include/cornelspring/protocol.hpp
+++ b/include/cornelspring/protocol.hpp
@@ -51,7 +51,7 @@
 };
 
 /** Answer of a back end for one shard. */
-struct shard_answer {
+struct shard_response {
     std::string request_id;         ///< Echo of the request id.
     std::string service;            ///< Echo of the service.
     std::int32_t shard = 0;         ///< Echo of the shard.
@@ -75,7 +75,7 @@
 inline constexpr std::int64_t max_deadline_ms = 60000;
 
 /** The answer to a caller's search. */
-struct query_answer {
+struct query_response {
     std::string request_id;            ///< Echo of the caller's id.
     std::string service;               ///< Service searched.
     std::int64_t index_version = 0;    ///< The one snapshot every hit comes from.
@@ -96,7 +96,7 @@
 };
 
 /** The answer to a non-idempotent request that ran. */
-struct write_answer {
+struct write_response {
     std::string idempotency_key; ///< Echo of the key.
     std::string service;         ///< Service.
     std::string result;          ///< What the back end returned.
@@ -155,26 +155,26 @@
     }
 }
 
-void to_json(nlohmann::json& out, hit const& value);            ///< Encodes a hit.
-void from_json(nlohmann::json const& in, hit& value);           ///< Decodes a hit.
-void to_json(nlohmann::json& out, shard_query const& value);    ///< Encodes a shard query.
-void from_json(nlohmann::json const& in, shard_query& value);   ///< Decodes a shard query.
-void to_json(nlohmann::json& out, shard_answer const& value);   ///< Encodes a shard answer.
-void from_json(nlohmann::json const& in, shard_answer& value);  ///< Decodes a shard answer.
-void to_json(nlohmann::json& out, query_request const& value);  ///< Encodes a caller query.
-void from_json(nlohmann::json const& in, query_request& value); ///< Decodes and checks a caller query.
-void to_json(nlohmann::json& out, query_answer const& value);   ///< Encodes a caller answer.
-void from_json(nlohmann::json const& in, query_answer& value);  ///< Decodes a caller answer.
-void to_json(nlohmann::json& out, write_request const& value);  ///< Encodes a write.
-void from_json(nlohmann::json const& in, write_request& value); ///< Decodes and checks a write.
-void to_json(nlohmann::json& out, write_answer const& value);   ///< Encodes a write's answer.
-void from_json(nlohmann::json const& in, write_answer& value);  ///< Decodes a write's answer.
-void to_json(nlohmann::json& out, shard_write const& value);    ///< Encodes a shard write.
-void from_json(nlohmann::json const& in, shard_write& value);   ///< Decodes a shard write.
-void to_json(nlohmann::json& out, write_record const& value);   ///< Encodes a write record.
-void from_json(nlohmann::json const& in, write_record& value);  ///< Decodes a write record.
-void to_json(nlohmann::json& out, entry_list const& value);     ///< Encodes an entry list.
-void from_json(nlohmann::json const& in, entry_list& value);    ///< Decodes an entry list.
+void to_json(nlohmann::json& out, hit const& value);             ///< Encodes a hit.
+void from_json(nlohmann::json const& in, hit& value);            ///< Decodes a hit.
+void to_json(nlohmann::json& out, shard_query const& value);     ///< Encodes a shard query.
+void from_json(nlohmann::json const& in, shard_query& value);    ///< Decodes a shard query.
+void to_json(nlohmann::json& out, shard_response const& value);  ///< Encodes a shard answer.
+void from_json(nlohmann::json const& in, shard_response& value); ///< Decodes a shard answer.
+void to_json(nlohmann::json& out, query_request const& value);   ///< Encodes a caller query.
+void from_json(nlohmann::json const& in, query_request& value);  ///< Decodes and checks a caller query.
+void to_json(nlohmann::json& out, query_response const& value);  ///< Encodes a caller answer.
+void from_json(nlohmann::json const& in, query_response& value); ///< Decodes a caller answer.
+void to_json(nlohmann::json& out, write_request const& value);   ///< Encodes a write.
+void from_json(nlohmann::json const& in, write_request& value);  ///< Decodes and checks a write.
+void to_json(nlohmann::json& out, write_response const& value);  ///< Encodes a write's answer.
+void from_json(nlohmann::json const& in, write_response& value); ///< Decodes a write's answer.
+void to_json(nlohmann::json& out, shard_write const& value);     ///< Encodes a shard write.
+void from_json(nlohmann::json const& in, shard_write& value);    ///< Decodes a shard write.
+void to_json(nlohmann::json& out, write_record const& value);    ///< Encodes a write record.
+void from_json(nlohmann::json const& in, write_record& value);   ///< Decodes a write record.
+void to_json(nlohmann::json& out, entry_list const& value);      ///< Encodes an entry list.
+void from_json(nlohmann::json const& in, entry_list& value);     ///< Decodes an entry list.
 
 /** @return the SHA-256 of @p text as hex (OpenSSL). @param text bytes. */
 std::string fingerprint(std::string const& text);
--- a/include/cornelspring/transport.hpp
+++ b/include/cornelspring/transport.hpp
@@ -14,9 +14,9 @@
 namespace cornelspring {
 
 /** Sends the response to one request; may be called from any thread, once. */
-using reply_fn = std::function<void(http_response)>;
+using respond_fn = std::function<void(http_response)>;
 /** Handles one request; must call the reply function exactly once, now or later, from any thread. */
-using request_handler = std::function<void(http_request const&, reply_fn)>;
+using request_handler = std::function<void(http_request const&, respond_fn)>;
 
 /** Limits and identity of a server. */
 struct server_options {
@@ -99,7 +99,7 @@
     milliseconds connect_timeout{1000}; ///< Longest wait for a TCP connection.
     milliseconds ping_after{500};       ///< With calls open, a PING is sent after this long without a byte read.
     milliseconds ping_timeout{500};     ///< No byte this long after a PING: the connection is silent and is closed.
-    milliseconds suspect_after{100};    ///< A call that timed out on a connection quiet this long retires it.
+    milliseconds retire_after{100};     ///< A call that timed out on a connection quiet this long retires it.
 };
 
 /** What the client has done since it started. */
--- a/src/backend/backend_service.cpp
+++ b/src/backend/backend_service.cpp
@@ -114,7 +114,7 @@
     if (m_journal.size() > journal_limit) m_journal.pop_front();
 }
 
-void backend_service::handle(http_request const& request, reply_fn reply)
+void backend_service::handle(http_request const& request, respond_fn reply)
 {
     bool const is_post = request.method == "POST";
     if (request.path == paths::shard_search && is_post) {
@@ -198,7 +198,7 @@
     return json_response(200, R"({"ok":true})");
 }
 
-void backend_service::search(http_request const& request, reply_fn reply)
+void backend_service::search(http_request const& request, respond_fn reply)
 {
     job task;
     task.query = parse_message<shard_query>(request.body, "shard query");
@@ -221,7 +221,7 @@
     admit(std::move(task));
 }
 
-void backend_service::write(http_request const& request, reply_fn reply)
+void backend_service::write(http_request const& request, respond_fn reply)
 {
     job task;
     task.is_write = true;
@@ -307,7 +307,7 @@
 http_response backend_service::search_answer(job const& task) const
 {
     auto const& query = task.query;
-    shard_answer answer;
+    shard_response answer;
     answer.request_id = query.request_id;
     answer.service = query.service;
     answer.shard = query.shard;
--- a/src/backend/backend_service.hpp
+++ b/src/backend/backend_service.hpp
@@ -73,7 +73,7 @@
     /** Stops the workers. */
     ~backend_service();
     /** Handles one request. @param request request. @param reply answer sink. */
-    void handle(http_request const& request, reply_fn reply);
+    void handle(http_request const& request, respond_fn reply);
     /** Marks the back end as draining: new searches are refused. */
     void begin_drain();
     /** Sets the faults in force. @param faults faults. */
@@ -96,7 +96,7 @@
         index_ptr index;           ///< Index searched; kept alive while the job waits.
         http_request request;      ///< Carries the cancel flag.
         time_point deadline;       ///< When the caller gives up.
-        reply_fn reply;            ///< Answer sink.
+        respond_fn reply;          ///< Answer sink.
         std::int64_t pause_ms = 0; ///< Time to spend before the work.
         bool garble = false;       ///< Answer with wrong bytes.
         bool lose_reply = false;   ///< Run, then never answer.
@@ -111,9 +111,9 @@
     /** Sleeps for the job's pause. @return false when the caller gave it up meanwhile. */
     static bool pause(job const& task, time_point started);
     /** Reads a search request and admits it. */
-    void search(http_request const& request, reply_fn reply);
+    void search(http_request const& request, respond_fn reply);
     /** Reads a write request and admits it. */
-    void write(http_request const& request, reply_fn reply);
+    void write(http_request const& request, respond_fn reply);
     /** Takes a free slot for @p task, or refuses it. */
     void admit(job task);
     /** Handles POST /v1/fault. */
--- a/src/backend/main.cpp
+++ b/src/backend/main.cpp
@@ -46,7 +46,7 @@
     instance(backend_config config, std::vector<document> const& corpus, server_options listen)
         : service(std::move(config), corpus),
           server(std::move(listen),
-                 [this](http_request const& request, reply_fn reply) { service.handle(request, std::move(reply)); })
+                 [this](http_request const& request, respond_fn reply) { service.handle(request, std::move(reply)); })
     {
         server.start();
     }
--- a/src/coordination/scatter_gather.cpp
+++ b/src/coordination/scatter_gather.cpp
@@ -185,7 +185,7 @@
 bool scatter_gather::accept_response(query_state& state, std::size_t shard, std::string const& body)
 {
     try {
-        auto response = parse_message<shard_answer>(body, "shard answer");
+        auto response = parse_message<shard_response>(body, "shard answer");
         // The response must be for this request, this service, this shard and the pinned version.
         bool const matches = response.request_id == state.query.request_id &&
                              response.shard == static_cast<std::int32_t>(shard) &&
@@ -307,7 +307,7 @@
 void scatter_gather::finish_if_complete(state_ptr const& state)
 {
     if (state->finished || state->unfinished_shards > 0) return;
-    query_answer response;
+    query_response response;
     response.request_id = state->query.request_id;
     response.service = state->query.service;
     response.index_version = state->version;
--- a/src/coordination/write_coordinator.cpp
+++ b/src/coordination/write_coordinator.cpp
@@ -52,9 +52,9 @@
 
 /** Outcome of sending a claimed request to backend servers. */
 struct write_coordinator::dispatch_result {
-    std::optional<write_answer> response; ///< The response, when the request ran.
-    bool may_have_run = false;            ///< It was sent and there was no conclusive response.
-    bool expired = false;                 ///< The deadline passed before anything was sent.
+    std::optional<write_response> response; ///< The response, when the request ran.
+    bool may_have_run = false;              ///< It was sent and there was no conclusive response.
+    bool expired = false;                   ///< The deadline passed before anything was sent.
     bool reached = false; ///< A backend server may have received it (and rejected it, unless it ran or may have run).
 };
 
@@ -275,7 +275,7 @@
             update_tracker(target.name, attempt_outcome::succeeded, elapsed);
             result.reached = true;
             result.response =
-                write_answer{request.idempotency_key, request.service, call_result.response.body, target.name, false};
+                write_response{request.idempotency_key, request.service, call_result.response.body, target.name, false};
             return result;
         }
         auto const failure = classify_failure(call_result);
@@ -297,7 +297,7 @@
     }
     if (record.state == write_state::done) {
         write_result result;
-        result.response = write_answer{request.idempotency_key, request.service, record.result, record.backend, true};
+        result.response = write_response{request.idempotency_key, request.service, record.result, record.backend, true};
         return result;
     }
     if (record.state == write_state::claimed) {
--- a/src/entry/entry_service.cpp
+++ b/src/entry/entry_service.cpp
@@ -68,7 +68,7 @@
     return text.str();
 }
 
-void entry_service::handle(http_request const& request, reply_fn reply)
+void entry_service::handle(http_request const& request, respond_fn reply)
 {
     std::string const path = request.path.substr(0, request.path.find('?'));
     if (path == paths::query || path == paths::writes) {
@@ -135,7 +135,7 @@
     return response;
 }
 
-void entry_service::handle_query(http_request const& request, reply_fn reply)
+void entry_service::handle_query(http_request const& request, respond_fn reply)
 {
     auto message = parse_message<query_request>(request.body, "query");
     if (message.request_id.empty()) message.request_id = new_request_id();
@@ -157,7 +157,7 @@
         });
 }
 
-void entry_service::handle_write(http_request const& request, reply_fn reply)
+void entry_service::handle_write(http_request const& request, respond_fn reply)
 {
     auto message = parse_message<write_request>(request.body, "write");
     m_writes.run(m_view.current(), std::move(message), [this, reply = std::move(reply)](write_result result) {
--- a/src/entry/entry_service.hpp
+++ b/src/entry/entry_service.hpp
@@ -36,15 +36,15 @@
     /** Sets the source of the transport's counters for /metrics. @param source called at each scrape. */
     void set_transport_stats(std::function<client_stats()> source) { m_transport_stats = std::move(source); }
     /** Handles one request. @param request request. @param reply sends the response. */
-    void handle(http_request const& request, reply_fn reply);
+    void handle(http_request const& request, respond_fn reply);
     /** Starts draining: new queries and writes are rejected with the addresses of the other entry nodes. */
     void start_drain() { m_draining = true; }
 
 private:
     /** Handles POST /v1/query. */
-    void handle_query(http_request const& request, reply_fn reply);
+    void handle_query(http_request const& request, respond_fn reply);
     /** Handles POST /v1/writes. */
-    void handle_write(http_request const& request, reply_fn reply);
+    void handle_write(http_request const& request, respond_fn reply);
     /** @return the response sent while this node drains: not run, with the other entry addresses. */
     http_response draining_response();
     /** @return the response to GET /healthz. */
--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -155,8 +155,9 @@
     entry_service service(identity, view, gather, *writes, std::make_shared<prometheus::Registry>());
     service.set_transport_stats([&client] { return client.stats(); });
     auto const listen = make_server_options(config);
-    http_server server(
-        listen, [&service](http_request const& request, reply_fn reply) { service.handle(request, std::move(reply)); });
+    http_server server(listen, [&service](http_request const& request, respond_fn reply) {
+        service.handle(request, std::move(reply));
+    });
     server.start();
     std::string advertise = config.text("advertise");
     if (advertise.empty()) advertise = endpoint{listen.listen.host, server.port()}.to_string();
--- a/src/protocol/messages.cpp
+++ b/src/protocol/messages.cpp
@@ -71,13 +71,13 @@
     if (value.k < 1 || value.k > max_k) refuse("k", "must be from 1 to " + std::to_string(max_k));
 }
 
-void to_json(nlohmann::json& out, shard_answer const& value)
+void to_json(nlohmann::json& out, shard_response const& value)
 {
     out = {{"request_id", value.request_id},       {"service", value.service}, {"shard", value.shard},
            {"index_version", value.index_version}, {"backend", value.backend}, {"hits", value.hits}};
 }
 
-void from_json(nlohmann::json const& in, shard_answer& value)
+void from_json(nlohmann::json const& in, shard_response& value)
 {
     in.at("request_id").get_to(value.request_id);
     in.at("service").get_to(value.service);
@@ -108,7 +108,7 @@
     if (value.request_id.size() > max_id_length) refuse("request_id", "must be at most 128 characters");
 }
 
-void to_json(nlohmann::json& out, query_answer const& value)
+void to_json(nlohmann::json& out, query_response const& value)
 {
     out = {{"request_id", value.request_id},
            {"service", value.service},
@@ -120,7 +120,7 @@
            {"hits", value.hits}};
 }
 
-void from_json(nlohmann::json const& in, query_answer& value)
+void from_json(nlohmann::json const& in, query_response& value)
 {
     in.at("request_id").get_to(value.request_id);
     in.at("service").get_to(value.service);
@@ -157,7 +157,7 @@
     check_deadline(value.deadline_ms);
 }
 
-void to_json(nlohmann::json& out, write_answer const& value)
+void to_json(nlohmann::json& out, write_response const& value)
 {
     out = {{"idempotency_key", value.idempotency_key},
            {"service", value.service},
@@ -166,7 +166,7 @@
            {"replayed", value.replayed}};
 }
 
-void from_json(nlohmann::json const& in, write_answer& value)
+void from_json(nlohmann::json const& in, write_response& value)
 {
     in.at("idempotency_key").get_to(value.idempotency_key);
     in.at("service").get_to(value.service);
--- a/src/store/main.cpp
+++ b/src/store/main.cpp
@@ -25,8 +25,9 @@
     server_options listen;
     listen.listen = {config.text("listen.host"), static_cast<std::uint16_t>(config.integer("listen.port"))};
     listen.max_body_bytes = static_cast<std::size_t>(config.integer("max_body_bytes"));
-    h2_server server(
-        listen, [&service](http_request const& request, reply_fn reply) { service.handle(request, std::move(reply)); });
+    h2_server server(listen, [&service](http_request const& request, respond_fn reply) {
+        service.handle(request, std::move(reply));
+    });
     server.set_tick([&service](time_point now) { service.tick(now); });
     server.start();
     auto logger = get_logger("store");
--- a/src/store/store_service.cpp
+++ b/src/store/store_service.cpp
@@ -77,7 +77,7 @@
     throw error(error_kind::not_found, "no store API at '" + path + "'.", "Use a path of etcd's v3 JSON gateway.");
 }
 
-void store_service::handle(http_request const& request, reply_fn reply)
+void store_service::handle(http_request const& request, respond_fn reply)
 {
     auto const now = clock::now();
     if (request.path == paths::fault) {
@@ -153,7 +153,7 @@
     return true;
 }
 
-void store_service::send(reply_fn reply, http_response response, bool is_write, time_point now)
+void store_service::send(respond_fn reply, http_response response, bool is_write, time_point now)
 {
     if (is_write && !m_skipped && m_faults.lose_replies > 0) {
         --m_faults.lose_replies;
--- a/src/store/store_service.hpp
+++ b/src/store/store_service.hpp
@@ -29,7 +29,7 @@
     /** @param history_limit events kept for watches. */
     explicit store_service(std::size_t history_limit);
     /** Handles one request. @param request the request. @param reply where the answer goes. */
-    void handle(http_request const& request, reply_fn reply);
+    void handle(http_request const& request, respond_fn reply);
     /** Expires leases, answers due watches and releases delayed replies. @param now present time. */
     void tick(time_point now);
 
@@ -40,12 +40,12 @@
         std::string range_end;  ///< End of range.
         std::int64_t after = 0; ///< Report events above this revision.
         time_point deadline;    ///< Answer with no events then.
-        reply_fn reply;         ///< Where the answer goes.
+        respond_fn reply;       ///< Where the answer goes.
     };
     /** A reply held back by the delay or lost-reply faults. */
     struct held_reply {
         time_point due;         ///< When it is sent.
-        reply_fn reply;         ///< Target.
+        respond_fn reply;       ///< Target.
         http_response response; ///< Answer.
     };
 
@@ -54,7 +54,7 @@
     /** @return whether the faults refuse this call; counts writes. */
     bool refused(std::string const& path);
     /** Sends @p response now or later, as the faults say. */
-    void send(reply_fn reply, http_response response, bool is_write, time_point now);
+    void send(respond_fn reply, http_response response, bool is_write, time_point now);
     /** Answers every waiting watch that has events or whose time is up. */
     void answer_watches(time_point now);
     /** Handles GET and POST /v1/vms: the platform's VM list, which lags by the fault's vm_lag_ms. */
--- a/src/transport/h2_client.cpp
+++ b/src/transport/h2_client.cpp
@@ -73,7 +73,7 @@
         auto* connection = find_connection(call.connection_id);
         // Quiet for the whole call and for a while: new calls go to a new connection; this one is judged by PING.
         bool const quiet = connection != nullptr && connection->connected && connection->last_read < call.begun &&
-                           now - connection->last_read >= options.suspect_after;
+                           now - connection->last_read >= options.retire_after;
         reset_stream(call);
         finish(id, call.sent ? send_outcome::unknown : send_outcome::not_sent, "timeout");
         if (quiet) retire(*connection);
--- a/tests/local_fleet.cpp
+++ b/tests/local_fleet.cpp
@@ -35,7 +35,7 @@
 
 local_store::local_store()
     : server(free_port_options(),
-             [this](http_request const& request, reply_fn reply) { service.handle(request, std::move(reply)); })
+             [this](http_request const& request, respond_fn reply) { service.handle(request, std::move(reply)); })
 {
     server.set_tick([this](time_point now) { service.tick(now); });
     server.start();
@@ -66,7 +66,7 @@
 local_backend::local_backend(backend_config config, std::vector<document> const& corpus)
     : service(std::move(config), corpus),
       server(free_port_options(),
-             [this](http_request const& request, reply_fn reply) { service.handle(request, std::move(reply)); })
+             [this](http_request const& request, respond_fn reply) { service.handle(request, std::move(reply)); })
 {
     server.start();
 }
--- a/tests/test_end_to_end.cpp
+++ b/tests/test_end_to_end.cpp
@@ -23,7 +23,7 @@
         d.send("POST", paths::query, R"({"service":"svc","query":"love and war","k":5,"request_id":"r-1"})");
     REQUIRE(result.outcome == send_outcome::answered);
     REQUIRE(result.response.status == 200);
-    auto const answer = parse_message<query_answer>(result.response.body, "answer");
+    auto const answer = parse_message<query_response>(result.response.body, "answer");
     CHECK(answer.request_id == "r-1");
     CHECK(answer.index_version == 1);
     CHECK(answer.shards_total == 3);
@@ -96,7 +96,7 @@
     for (int i = 0; i < 5; ++i) {
         auto const result = d.send("POST", paths::query, R"({"service":"svc","query":"sea"})");
         REQUIRE(result.response.status == 200);
-        CHECK(parse_message<query_answer>(result.response.body, "answer").coverage == doctest::Approx(1.0));
+        CHECK(parse_message<query_response>(result.response.body, "answer").coverage == doctest::Approx(1.0));
     }
 }
 
--- a/tests/test_failures.cpp
+++ b/tests/test_failures.cpp
@@ -47,7 +47,7 @@
         CAPTURE(i);
         REQUIRE(result.outcome == send_outcome::answered);
         REQUIRE(result.response.status == 200);
-        auto const answer = parse_message<query_answer>(result.response.body, "answer");
+        auto const answer = parse_message<query_response>(result.response.body, "answer");
         CHECK(answer.request_id == "stop-" + std::to_string(i));
         CHECK(answer.coverage == doctest::Approx(1.0));
     }
@@ -126,7 +126,7 @@
     auto const ask = [&d] {
         auto const result = d.send("POST", paths::query, R"({"service":"svc","query":"sea","deadline_ms":4000})");
         REQUIRE(result.response.status == 200);
-        CHECK(parse_message<query_answer>(result.response.body, "answer").coverage == doctest::Approx(1.0));
+        CHECK(parse_message<query_response>(result.response.body, "answer").coverage == doctest::Approx(1.0));
     };
     d.group.stop("b0", SIGSTOP);
     for (int i = 0; i < 10; ++i)
@@ -159,7 +159,7 @@
     for (int i = 0; i < 5; ++i) {
         auto const result = d.send("POST", paths::query, R"({"service":"svc","query":"sea"})");
         REQUIRE(result.response.status == 200);
-        CHECK(parse_message<query_answer>(result.response.body, "answer").coverage == doctest::Approx(1.0));
+        CHECK(parse_message<query_response>(result.response.body, "answer").coverage == doctest::Approx(1.0));
         CHECK(d.entry_revision() >= before);
     }
     // During the outage the write is refused; once it ends, it goes through and reaches the entry node.
--- a/tests/test_query_contract.cpp
+++ b/tests/test_query_contract.cpp
@@ -39,7 +39,7 @@
 }
 
 /** @return the shards that contributed according to @p response. */
-std::set<std::int32_t> contributing_shards(query_answer const& response)
+std::set<std::int32_t> contributing_shards(query_response const& response)
 {
     std::set<std::int32_t> shards;
     for (std::int32_t shard = 0; shard < response.shards_total; ++shard)
--- a/tests/test_transport_contract.cpp
+++ b/tests/test_transport_contract.cpp
@@ -20,8 +20,8 @@
 struct test_server {
     std::atomic<int> received{0};
     std::atomic<bool> hold{false};
-    std::vector<reply_fn> held; ///< Touched on the server thread only.
-    h2_server server{server_options{}, [this](http_request const& request, reply_fn reply) {
+    std::vector<respond_fn> held; ///< Touched on the server thread only.
+    h2_server server{server_options{}, [this](http_request const& request, respond_fn reply) {
                          ++received;
                          if (hold) {
                              held.push_back(std::move(reply));
@@ -154,7 +154,7 @@
     std::atomic<bool> seen{false};
     std::shared_ptr<std::atomic<bool>> flag;
     std::atomic<bool> arrived{false};
-    h2_server server(server_options{}, [&](http_request const& request, reply_fn) {
+    h2_server server(server_options{}, [&](http_request const& request, respond_fn) {
         flag = request.cancelled;
         arrived = true;
     });
