--- a/include/cornelspring/protocol.hpp
+++ b/include/cornelspring/protocol.hpp
@@ -1,4 +1,4 @@
-/** @file protocol.hpp Typed messages between callers, entry nodes, back ends and the store, with JSON codecs. */
+/** @file protocol.hpp Messages between callers, entry nodes, backend servers and the store, and their JSON codecs. */
 #pragma once
 
 #include <cornelspring/base.hpp>
@@ -12,24 +12,24 @@
 
 namespace cornelspring {
 
-/** Paths of the interfaces, in one place. */
+/** Paths of the HTTP interfaces. */
 namespace paths {
-inline constexpr char const* query = "/v1/query";               ///< Caller: search a service.
-inline constexpr char const* writes = "/v1/writes";             ///< Caller: run a non-idempotent request.
-inline constexpr char const* entries = "/v1/entries";           ///< Caller: which entry addresses to use.
+inline constexpr char const* query = "/v1/query";               ///< Caller to entry node: search a service.
+inline constexpr char const* writes = "/v1/writes";             ///< Caller to entry node: run a non-idempotent request.
+inline constexpr char const* entries = "/v1/entries";           ///< Caller to entry node: list entry addresses.
 inline constexpr char const* health = "/healthz";               ///< Liveness and drain state.
 inline constexpr char const* metrics = "/metrics";              ///< Prometheus text.
-inline constexpr char const* shard_search = "/v1/shard/search"; ///< Entry to back end: search one shard.
-inline constexpr char const* shard_write = "/v1/shard/write";   ///< Entry to back end: run a write.
-inline constexpr char const* journal = "/v1/journal";           ///< Back-end stand-in: what it received and ran.
-inline constexpr char const* load_version = "/v1/versions";     ///< Back-end stand-in: load another index version.
-inline constexpr char const* stats = "/v1/stats";               ///< Store stand-in: calls served, by path.
-inline constexpr char const* vms = "/v1/vms";                   ///< Platform stand-in: live and leaving VMs.
-inline constexpr char const* backend_load = "/v1/load";         ///< Back end's own load report (may mislead).
-inline constexpr char const* fault = "/v1/fault";               ///< Fault injection of a stand-in.
+inline constexpr char const* shard_search = "/v1/shard/search"; ///< Entry node to backend server: search one shard.
+inline constexpr char const* shard_write = "/v1/shard/write";   ///< Entry node to backend server: run a write.
+inline constexpr char const* journal = "/v1/journal";           ///< Backend stand-in: requests it received and ran.
+inline constexpr char const* load_version = "/v1/versions";     ///< Backend stand-in: load another index version.
+inline constexpr char const* stats = "/v1/stats";               ///< Store stand-in: number of calls served, by path.
+inline constexpr char const* vms = "/v1/vms";                   ///< Platform stand-in: VMs running or being removed.
+inline constexpr char const* backend_load = "/v1/load";         ///< Backend server's own load report (can be wrong).
+inline constexpr char const* fault = "/v1/fault";               ///< Stand-ins: inject a fault.
 } // namespace paths
 
-/** Response header by which a back end says, with a 503, that it is leaving rather than merely busy. */
+/** Header of a backend server's 503 response that means it is draining, not merely overloaded. */
 inline constexpr char const* draining_header = "x-draining";
 
 /** One ranked hit. */
@@ -39,24 +39,24 @@
     std::string text;      ///< The document's text.
 };
 
-/** Request from an entry node to a back end for one shard. */
+/** Request from an entry node to a backend server to search one shard. */
 struct shard_query {
     std::string request_id;         ///< Caller's request id, carried end to end.
     std::string service;            ///< Service name.
     std::int32_t shard = 0;         ///< Shard number.
-    std::int64_t index_version = 0; ///< Version the answer must come from.
+    std::int64_t index_version = 0; ///< Index version to search.
     std::vector<std::string> terms; ///< Lower-case search terms.
     std::int32_t k = 10;            ///< Hits wanted.
-    std::int64_t deadline_ms = 0;   ///< Time left for the back end, in milliseconds.
+    std::int64_t deadline_ms = 0;   ///< Time left for the backend server, in milliseconds.
 };
 
-/** Answer of a back end for one shard. */
+/** Response of a backend server for one shard. */
 struct shard_response {
     std::string request_id;         ///< Echo of the request id.
     std::string service;            ///< Echo of the service.
     std::int32_t shard = 0;         ///< Echo of the shard.
-    std::int64_t index_version = 0; ///< Version the hits come from.
-    std::string backend;            ///< Name of the back end that answered.
+    std::int64_t index_version = 0; ///< Index version the hits come from.
+    std::string backend;            ///< Name of the backend server that responded.
     std::vector<hit> hits;          ///< Best hits of the shard, best first.
 };
 
@@ -66,7 +66,7 @@
     std::string query;            ///< Free text; split into terms.
     std::int32_t k = 10;          ///< Hits wanted, 1 to max_k.
     std::int64_t deadline_ms = 0; ///< Time budget in milliseconds; 0 takes the entry node's default.
-    std::string request_id;       ///< Caller's id; the entry node makes one when empty.
+    std::string request_id;       ///< Caller's id; generated by the entry node when empty.
 };
 
 /** Largest k a caller may ask for. */
@@ -74,37 +74,37 @@
 /** Longest deadline a caller may ask for, in milliseconds. */
 inline constexpr std::int64_t max_deadline_ms = 60000;
 
-/** The answer to a caller's search. */
+/** The response to a caller's search. */
 struct query_response {
     std::string request_id;            ///< Echo of the caller's id.
     std::string service;               ///< Service searched.
-    std::int64_t index_version = 0;    ///< The one snapshot every hit comes from.
-    std::int32_t shards_total = 0;     ///< Shards the service has.
-    std::int32_t shards_answered = 0;  ///< Shards whose hits are included.
+    std::int64_t index_version = 0;    ///< Index version that every hit comes from.
+    std::int32_t shards_total = 0;     ///< Number of shards of the service.
+    std::int32_t shards_answered = 0;  ///< Number of shards whose hits are included.
     double coverage = 0;               ///< shards_answered / shards_total.
-    std::vector<std::int32_t> missing; ///< Shards that did not contribute.
+    std::vector<std::int32_t> missing; ///< Shards whose hits are not included.
     std::vector<hit> hits;             ///< Merged best hits, best first.
 };
 
 /** A caller's non-idempotent request, such as a booking. */
 struct write_request {
     std::string service;          ///< Service it goes to.
-    std::string idempotency_key;  ///< Names the request; the same key never runs twice.
-    std::string entity;           ///< What it concerns; its hash picks the shard.
-    std::string body;             ///< Passed to the back end unread.
+    std::string idempotency_key;  ///< Identifies the request, which runs at most once per key.
+    std::string entity;           ///< Entity the request concerns; its hash selects the shard.
+    std::string body;             ///< Passed to the backend server unparsed.
     std::int64_t deadline_ms = 0; ///< Time budget in milliseconds; 0 takes the entry node's default.
 };
 
-/** The answer to a non-idempotent request that ran. */
+/** The response to a non-idempotent request that ran. */
 struct write_response {
     std::string idempotency_key; ///< Echo of the key.
     std::string service;         ///< Service.
-    std::string result;          ///< What the back end returned.
-    std::string backend;         ///< Back end that ran it.
-    bool replayed = false;       ///< True when it ran for an earlier submission of the same key.
+    std::string result;          ///< Result returned by the backend server.
+    std::string backend;         ///< Backend server that ran it.
+    bool replayed = false;       ///< True when it ran for an earlier request with the same key.
 };
 
-/** Request from an entry node to a back end to run a write. */
+/** Request from an entry node to a backend server to run a write. */
 struct shard_write {
     std::string idempotency_key;  ///< The caller's key.
     std::string service;          ///< Service.
@@ -115,10 +115,10 @@
 
 /** States of the record of a non-idempotent request. */
 enum class write_state {
-    claimed,  ///< An entry node may send it, or has sent it.
-    released, ///< Claimed once, but certainly never ran: may be claimed again.
+    claimed,  ///< Claimed by an entry node, which may have sent it.
+    released, ///< Claimed before but known not to have run: may be claimed again.
     done,     ///< Ran; the result is in the record.
-    unknown,  ///< Sent, and whether it ran is not known: never sent again.
+    unknown,  ///< Sent, but whether it ran is not known: never sent again.
 };
 
 /** Record of a non-idempotent request, kept in the store under write_prefix. */
@@ -126,15 +126,15 @@
     write_state state = write_state::claimed; ///< State.
     std::string claim;                        ///< Unique id of the claim that wrote it.
     std::string owner;                        ///< Entry node that made the claim.
-    std::string fingerprint;                  ///< Hash of the request, to refuse another request under the same key.
-    std::string result;                       ///< Result, when done.
-    std::string backend;                      ///< Back end that ran it, when done.
+    std::string fingerprint; ///< Hash of the request; a different request with the same key is rejected.
+    std::string result;      ///< Result, when done.
+    std::string backend;     ///< Backend server that ran it, when done.
 };
 
-/** Entry addresses a caller may use and how long to keep them. */
+/** Addresses of entry nodes for callers, and how long to cache them. */
 struct entry_list {
     std::vector<std::string> addresses; ///< host:port of live entry nodes, nearest first.
-    std::int64_t ttl_s = 0;             ///< Seconds to keep this list before asking again.
+    std::int64_t ttl_s = 0;             ///< Seconds to cache this list before requesting it again.
 };
 
 /**
@@ -159,16 +159,16 @@
 void from_json(nlohmann::json const& in, hit& value);            ///< Decodes a hit.
 void to_json(nlohmann::json& out, shard_query const& value);     ///< Encodes a shard query.
 void from_json(nlohmann::json const& in, shard_query& value);    ///< Decodes a shard query.
-void to_json(nlohmann::json& out, shard_response const& value);  ///< Encodes a shard answer.
-void from_json(nlohmann::json const& in, shard_response& value); ///< Decodes a shard answer.
-void to_json(nlohmann::json& out, query_request const& value);   ///< Encodes a caller query.
-void from_json(nlohmann::json const& in, query_request& value);  ///< Decodes and checks a caller query.
-void to_json(nlohmann::json& out, query_response const& value);  ///< Encodes a caller answer.
-void from_json(nlohmann::json const& in, query_response& value); ///< Decodes a caller answer.
+void to_json(nlohmann::json& out, shard_response const& value);  ///< Encodes a shard response.
+void from_json(nlohmann::json const& in, shard_response& value); ///< Decodes a shard response.
+void to_json(nlohmann::json& out, query_request const& value);   ///< Encodes a caller's query.
+void from_json(nlohmann::json const& in, query_request& value);  ///< Decodes and checks a caller's query.
+void to_json(nlohmann::json& out, query_response const& value);  ///< Encodes a query response.
+void from_json(nlohmann::json const& in, query_response& value); ///< Decodes a query response.
 void to_json(nlohmann::json& out, write_request const& value);   ///< Encodes a write.
 void from_json(nlohmann::json const& in, write_request& value);  ///< Decodes and checks a write.
-void to_json(nlohmann::json& out, write_response const& value);  ///< Encodes a write's answer.
-void from_json(nlohmann::json const& in, write_response& value); ///< Decodes a write's answer.
+void to_json(nlohmann::json& out, write_response const& value);  ///< Encodes a write response.
+void from_json(nlohmann::json const& in, write_response& value); ///< Decodes a write response.
 void to_json(nlohmann::json& out, shard_write const& value);     ///< Encodes a shard write.
 void from_json(nlohmann::json const& in, shard_write& value);    ///< Decodes a shard write.
 void to_json(nlohmann::json& out, write_record const& value);    ///< Encodes a write record.
@@ -185,7 +185,7 @@
 /** @return the lower-case words of @p text, split at anything that is not a letter or digit. @param text query. */
 std::vector<std::string> split_terms(std::string const& text);
 
-// ---- The platform store's API, in the shape of etcd v3's JSON gateway ----
+// ---- API of the store: etcd v3's JSON gateway ----
 
 /** Paths of the store API (etcd v3 JSON gateway). */
 namespace store_paths {
@@ -193,10 +193,10 @@
 inline constexpr char const* put = "/v3/kv/put";                      ///< Write a key.
 inline constexpr char const* delete_range = "/v3/kv/deleterange";     ///< Delete keys.
 inline constexpr char const* txn = "/v3/kv/txn";                      ///< Compare-and-swap.
-inline constexpr char const* lease_grant = "/v3/lease/grant";         ///< New lease.
+inline constexpr char const* lease_grant = "/v3/lease/grant";         ///< Create a lease.
 inline constexpr char const* lease_keepalive = "/v3/lease/keepalive"; ///< Renew a lease.
-inline constexpr char const* lease_revoke = "/v3/lease/revoke";       ///< End a lease.
-inline constexpr char const* watch = "/v3/watch";                     ///< Wait for changes.
+inline constexpr char const* lease_revoke = "/v3/lease/revoke";       ///< Revoke a lease.
+inline constexpr char const* watch = "/v3/watch";                     ///< Watch for changes.
 } // namespace store_paths
 
 /** A stored key and value with its revisions (etcd's mvccpb.KeyValue). */
@@ -205,30 +205,30 @@
     std::string value;                ///< Value (raw bytes; base64 on the wire).
     std::int64_t create_revision = 0; ///< Revision that created the key.
     std::int64_t mod_revision = 0;    ///< Revision of the last write.
-    std::int64_t version = 0;         ///< Writes since creation.
+    std::int64_t version = 0;         ///< Number of writes since creation.
     std::int64_t lease = 0;           ///< Lease the key is bound to, or 0.
 };
 
-/** One change seen by a watch. */
+/** One change reported by a watch. */
 struct watch_event {
     bool is_delete = false; ///< DELETE, else PUT.
     key_value kv;           ///< Key after the change (for DELETE, the key and mod_revision).
 };
 
-/** What a comparison in a transaction looks at. */
+/** Property of a key that a transaction's comparison is made on. */
 enum class compare_target { mod_revision, version, create_revision, value };
 
-/** One comparison of a transaction; only EQUAL is used by this project. */
+/** One comparison of a transaction; only EQUAL is supported. */
 struct compare {
     std::string key;                                      ///< Key compared.
-    compare_target target = compare_target::mod_revision; ///< What is compared.
+    compare_target target = compare_target::mod_revision; ///< Property compared.
     std::int64_t number = 0;                              ///< Expected revision or version (0: the key does not exist).
     std::string value;                                    ///< Expected value for target value.
 };
 
 /** One operation of a transaction. */
 struct txn_op {
-    enum class kind { put, remove, range } op = kind::put; ///< What it does.
+    enum class kind { put, remove, range } op = kind::put; ///< Kind of operation.
     std::string key;                                       ///< Key.
     std::string range_end;                                 ///< End of range for remove and range, or "".
     std::string value;                                     ///< Value for put.
@@ -239,12 +239,12 @@
 struct txn_request {
     std::vector<compare> compares; ///< All must hold.
     std::vector<txn_op> success;   ///< Run when they hold.
-    std::vector<txn_op> failure;   ///< Run when one does not.
+    std::vector<txn_op> failure;   ///< Run when any does not hold.
 };
 
 /** Result of a transaction. */
 struct txn_result {
-    bool succeeded = false;           ///< Whether the compares held.
+    bool succeeded = false;           ///< Whether all comparisons held.
     std::int64_t revision = 0;        ///< Store revision after it.
     std::vector<key_value> range_kvs; ///< Keys read by range operations.
 };
--- a/include/cornelspring/transport.hpp
+++ b/include/cornelspring/transport.hpp
@@ -1,4 +1,4 @@
-/** @file transport.hpp HTTP/2 streams between our processes (nghttp2) and HTTP towards callers (libwebsockets). */
+/** @file transport.hpp HTTP/2 between the project's processes (nghttp2), HTTP/1.1 for callers (libwebsockets). */
 #pragma once
 
 #include <cornelspring/net.hpp>
@@ -13,23 +13,23 @@
 
 namespace cornelspring {
 
-/** Sends the response to one request; may be called from any thread, once. */
+/** Sends the response to one request; may be called once, from any thread. */
 using respond_fn = std::function<void(http_response)>;
-/** Handles one request; must call the reply function exactly once, now or later, from any thread. */
+/** Handles one request; must call the respond_fn exactly once, immediately or later, from any thread. */
 using request_handler = std::function<void(http_request const&, respond_fn)>;
 
-/** Limits and identity of a server. */
+/** Address and limits of a server. */
 struct server_options {
     endpoint listen{"127.0.0.1", 0};      ///< Address to bind; port 0 picks a free port.
-    std::size_t max_body_bytes = 1 << 20; ///< Larger bodies are refused with 413.
-    std::size_t max_connections = 1024;   ///< Connections above this are closed at once.
+    std::size_t max_body_bytes = 1 << 20; ///< Larger bodies are rejected with 413.
+    std::size_t max_connections = 1024;   ///< Further connections are closed right after accept().
     milliseconds tick_interval{100};      ///< How often the tick hook runs.
 };
 
 /**
- * HTTP/2 server with prior knowledge (h2c) built on nghttp2 sessions over plain sockets.
- * One task: a thread owns the listening socket, every connection and every stream; handlers run on it
- * and replies come back to it as messages through a queue.
+ * HTTP/2 server (h2c, prior knowledge) on nghttp2 sessions over plain sockets.
+ * Its one thread owns the listening socket, all connections and all streams. Handlers run on that thread;
+ * their responses are passed back to it through a queue.
  */
 class h2_server {
 public:
@@ -49,22 +49,22 @@
     std::uint16_t port() const;
     /** Starts the server thread. */
     void start();
-    /** Sets a hook run on the server thread every tick with the present time. @param tick the hook. */
+    /** Sets a hook that runs on the server thread every tick_interval with the current time. @param tick the hook. */
     void set_tick(std::function<void(time_point)> tick);
-    /** Runs @p task on the server thread soon. Thread-safe. @param task the work. */
+    /** Queues @p task to run on the server thread. Thread-safe. @param task the work. */
     void post(std::function<void()> task);
     /**
-     * Stops accepting, sends GOAWAY on every connection, and waits until every accepted request has been
-     * answered or @p limit has passed.
+     * Stops accepting connections, sends GOAWAY on the open ones, and waits until every accepted request has
+     * its response or @p limit has passed.
      * @param limit longest wait.
-     * @return the number of requests still unanswered when it returned.
+     * @return the number of requests that still have no response.
      */
     std::size_t drain(milliseconds limit);
-    /** @return the number of requests accepted and not yet answered. Thread-safe. */
+    /** @return the number of accepted requests that have no response yet. Thread-safe. */
     std::size_t in_flight() const;
-    /** Fault injection: a frozen server reads nothing and accepts nothing. @param frozen on or off. */
+    /** Fault injection: a frozen server reads no data and accepts no connections. @param frozen on or off. */
     void set_frozen(bool frozen);
-    /** Fault injection: connections open now go silent for good (nothing read, nothing written); new ones work. */
+    /** Fault injection: permanently stops reading and writing on the open connections; new connections work. */
     void silence_open_connections();
 
     /** Opaque state, defined in the source file. */
@@ -74,17 +74,17 @@
     std::unique_ptr<impl> m_impl; ///< State owned by the server thread.
 };
 
-/** Why a request to a peer failed, in the terms the caller needs for "not run" and at-most-once. */
+/** How a request to a peer finished; says whether it can have run, which at-most-once execution needs. */
 enum class send_outcome {
     answered, ///< A response arrived.
-    not_sent, ///< No byte of the request left this process: it did not run.
-    unknown,  ///< The request was sent, but no response came (timeout, reset, closed connection).
+    not_sent, ///< It did not run: no byte of it left this process, or the peer refused the stream unprocessed.
+    unknown,  ///< It may have run: sent, but no complete response arrived (timeout, reset, closed connection).
 };
 
 /** Result of one request to a peer. */
 struct client_result {
-    send_outcome outcome = send_outcome::not_sent; ///< What is known about the request.
-    http_response response;                        ///< The response when answered.
+    send_outcome outcome = send_outcome::not_sent; ///< How the request finished.
+    http_response response;                        ///< The response, when answered.
     std::string detail;                            ///< Why it failed, for logs.
 };
 
@@ -97,26 +97,26 @@
 /** Limits of the client's connections. */
 struct client_options {
     milliseconds connect_timeout{1000}; ///< Longest wait for a TCP connection.
-    milliseconds ping_after{500};       ///< With calls open, a PING is sent after this long without a byte read.
-    milliseconds ping_timeout{500};     ///< No byte this long after a PING: the connection is silent and is closed.
-    milliseconds retire_after{100};     ///< A call that timed out on a connection quiet this long retires it.
+    milliseconds ping_after{500};   ///< With calls in flight, a PING is sent after this long without a byte received.
+    milliseconds ping_timeout{500}; ///< A connection that receives no byte within this time after a PING is closed.
+    milliseconds retire_after{100}; ///< A timed-out call retires its connection if no byte arrived for this long.
 };
 
-/** What the client has done since it started. */
+/** Counters of a client since its start. */
 struct client_stats {
-    std::uint64_t connections_opened = 0; ///< TCP connections begun.
-    std::uint64_t connections_silent = 0; ///< Connections closed because a PING got no answer.
+    std::uint64_t connections_opened = 0; ///< TCP connections started.
+    std::uint64_t connections_silent = 0; ///< Connections closed because a PING got no response.
     std::uint64_t bytes_sent = 0;         ///< Bytes written to sockets.
     std::uint64_t bytes_received = 0;     ///< Bytes read from sockets.
 };
 
 /**
- * HTTP/2 client (h2c, prior knowledge) on nghttp2: one task whose thread owns one warm connection per
- * peer, every stream and every timer. Requests arrive as messages; results leave through callbacks run
- * on that thread, so code driven by callbacks needs no locks of its own.
+ * HTTP/2 client (h2c, prior knowledge) on nghttp2. Its one thread owns one open connection per peer, all
+ * streams and all timers. Requests are passed to that thread through a queue. Result callbacks run on it, so
+ * code that runs only in callbacks needs no locks.
  *
- * A connection that goes silent while calls are open is found by PING and closed, so its calls end as
- * "unknown" well before their deadlines; a peer that sends GOAWAY gets no new stream on that connection.
+ * While calls are in flight, PINGs detect a connection that no longer delivers data. It is closed, so that its calls
+ * finish as "unknown" well before their deadlines. After a GOAWAY, no new stream is opened on the connection.
  */
 class h2_client {
 public:
@@ -131,30 +131,30 @@
      * Sends @p request to @p peer. Thread-safe.
      * @param peer address of the server.
      * @param request the request.
-     * @param timeout time after which the request is reset and reported "unknown" (or "not sent").
+     * @param timeout time after which the stream is reset and the outcome is unknown, or not_sent if nothing was sent.
      * @param done called once with the result on the client thread.
      * @return an id for cancel().
      */
     call_id submit(endpoint const& peer, http_request request, milliseconds timeout, result_callback done);
-    /** Resets the stream of @p id; its callback is not called. Thread-safe. @param id from submit(). */
+    /** Cancels a call and resets its stream; its callback is not called. Thread-safe. @param id from submit(). */
     void cancel(call_id id);
-    /** Runs @p task on the client thread. Thread-safe. @param task the work. */
+    /** Queues @p task to run on the client thread. Thread-safe. @param task the work. */
     void post(std::function<void()> task);
-    /** Runs @p task on the client thread at @p when; call on the client thread only. */
+    /** Runs @p task on the client thread at @p when; must be called on the client thread. */
     void run_at(time_point when, std::function<void()> task);
     /** @return counters since the start. Thread-safe. */
     client_stats stats() const;
     /**
-     * Sends and waits for the result; for tools and tests, not for the query path.
+     * Sends a request and blocks until its result; for tools and tests, not for the query path.
      * @param peer address.
      * @param request the request.
-     * @param timeout deadline.
+     * @param timeout time limit.
      * @return the result.
      */
     client_result call(endpoint const& peer, http_request request, milliseconds timeout);
-    /** Ends the client thread; requests still open get no callback. Called by the destructor too. */
+    /** Stops the client thread; callbacks of requests still pending are not run. Called by the destructor too. */
     void stop();
-    /** Closes every connection to @p peer abruptly (fault injection and after a peer was removed). */
+    /** Closes the connection that takes new calls to @p peer, without GOAWAY (fault injection, removed peers). */
     void drop_connections(endpoint const& peer);
 
     /** Opaque state, defined in the source file. */
@@ -165,8 +165,8 @@
 };
 
 /**
- * HTTP/1.1 server for callers and operators on libwebsockets. One task: its service thread owns the
- * context and every connection; replies come back to it as messages through a queue.
+ * HTTP/1.1 server for callers and operators on libwebsockets. Its service thread owns the libwebsockets
+ * context and all connections; responses are passed back to that thread through a queue.
  */
 class http_server {
 public:
@@ -187,12 +187,12 @@
     /** Starts the service thread. */
     void start();
     /**
-     * Waits until every accepted request has been answered or @p limit passed.
+     * Waits until every accepted request has its response or @p limit has passed.
      * @param limit longest wait.
-     * @return requests still unanswered.
+     * @return the number of requests that still have no response.
      */
     std::size_t drain(milliseconds limit);
-    /** @return requests accepted and not yet answered. Thread-safe. */
+    /** @return the number of accepted requests that have no response yet. Thread-safe. */
     std::size_t in_flight() const;
 
     /** Opaque state, defined in the source file. */
@@ -203,13 +203,13 @@
 };
 
 /**
- * HTTP/1.1 client on libwebsockets, as callers use the entry nodes: for the load tool and the tests.
- * One task: its service thread owns the context and every connection; a request arrives as a message
- * and its result leaves through a callback run on that thread. One connection per request.
+ * HTTP/1.1 client on libwebsockets for the load tool and the tests, which use entry nodes as callers do.
+ * Its service thread owns the libwebsockets context and all connections. Requests are passed to that thread
+ * through a queue, and result callbacks run on it. Each request has its own connection.
  */
 class http_client {
 public:
-    /** Creates the client-only context and starts the service thread. */
+    /** Creates a libwebsockets context without a listener and starts the service thread. */
     http_client();
     /** Stops the thread; callbacks of requests still pending are not run. */
     ~http_client();
@@ -218,11 +218,16 @@
 
     /**
      * Sends @p request to @p peer. Thread-safe.
-     * @param peer address. @param request the request. @param timeout deadline; the result is then "unknown".
+     * @param peer address. @param request the request. @param timeout time limit; then the outcome is unknown, or
+     * not_sent.
      * @param done called once with the result on the client thread.
      */
     void submit(endpoint const& peer, http_request request, milliseconds timeout, result_callback done);
-    /** Sends and waits. @param peer address. @param request request. @param timeout deadline. @return the result. */
+    /**
+     * Sends a request and blocks until its result.
+     * @param peer address. @param request the request. @param timeout time limit.
+     * @return the result.
+     */
     client_result call(endpoint const& peer, http_request request, milliseconds timeout);
 
     /** Opaque state, defined in the source file. */
@@ -232,7 +237,7 @@
     std::unique_ptr<impl> m_impl; ///< State owned by the service thread.
 };
 
-/** Makes SIGTERM and SIGINT set a flag that wait_for_stop_signal() waits on; call early in main. */
+/** Makes SIGTERM and SIGINT wake wait_for_stop_signal(), and ignores SIGPIPE; call early in main. */
 void install_stop_signals();
 
 /** Blocks until SIGTERM or SIGINT arrives. */
--- a/src/protocol/etcd.cpp
+++ b/src/protocol/etcd.cpp
@@ -1,4 +1,4 @@
-/** @file etcd.cpp Codecs for the store's etcd v3 JSON gateway shape: base64 keys, int64 as strings. */
+/** @file etcd.cpp JSON codecs of the store's API (etcd v3 JSON gateway): base64 keys and values, int64 as strings. */
 #include <cornelspring/protocol.hpp>
 
 #include <libwebsockets.h>
@@ -69,7 +69,7 @@
 
 namespace {
 
-/** @return etcd's name of @p target. */
+/** @return the name of @p target in etcd's API. */
 char const* target_name(compare_target target)
 {
     switch (target) {
--- a/src/protocol/messages.cpp
+++ b/src/protocol/messages.cpp
@@ -1,4 +1,4 @@
-/** @file messages.cpp JSON codecs of the query messages. */
+/** @file messages.cpp JSON codecs of queries, writes and entry lists; rejects invalid requests of callers. */
 #include <cornelspring/protocol.hpp>
 
 #include <cctype>
@@ -11,17 +11,17 @@
 namespace cornelspring {
 namespace {
 
-/** Throws a bad_request error for field @p name. */
+/** Throws a bad_request error that says which rule field @p name breaks. */
 [[noreturn]] void refuse(std::string const& name, std::string const& rule)
 {
     throw error(error_kind::bad_request, "field '" + name + "' " + rule + ".",
                 "Correct '" + name + "' and send again.");
 }
 
-/** Longest request id or idempotency key. */
+/** Greatest length of a request id or idempotency key. */
 constexpr std::size_t max_id_length = 128;
 
-/** Refuses a body that is not an object or has a field not in @p allowed. */
+/** Rejects a body that is not an object or has a field not in @p allowed. */
 void only_fields(nlohmann::json const& in, std::set<std::string> const& allowed, std::string const& what)
 {
     if (!in.is_object()) refuse("(body)", "must be a JSON object");
@@ -30,7 +30,7 @@
     }
 }
 
-/** Refuses a deadline out of range. */
+/** Rejects a deadline out of range. */
 void check_deadline(std::int64_t deadline_ms)
 {
     if (deadline_ms < 0 || deadline_ms > max_deadline_ms) {
@@ -242,7 +242,7 @@
 
 std::int32_t shard_of_entity(std::string const& entity, std::int32_t shards)
 {
-    // The first 15 hex digits fit in 60 bits, so the modulus is taken of a positive number.
+    // The first 15 hex digits fit in 60 bits, so the number cannot overflow or become negative.
     auto const number = std::stoull(fingerprint(entity).substr(0, 15), nullptr, 16);
     return static_cast<std::int32_t>(number % static_cast<std::uint64_t>(shards));
 }
--- a/src/transport/h2_client.cpp
+++ b/src/transport/h2_client.cpp
@@ -1,4 +1,4 @@
-/** @file h2_client.cpp HTTP/2 (h2c) client: one thread owns a connection per peer, the streams and the timers. */
+/** @file h2_client.cpp HTTP/2 (h2c) client: one thread owns one connection per peer, the streams and the timers. */
 #include "h2_client_impl.hpp"
 
 #include <sys/epoll.h>
@@ -10,9 +10,9 @@
 namespace cornelspring {
 namespace {
 
-/** Socket events taken per wait. */
+/** Most socket events handled per epoll_wait(). */
 constexpr int events_per_wait = 256;
-/** How often connections are checked for silence. */
+/** Interval between checks of the connections' time-outs. */
 constexpr milliseconds check_interval{50};
 
 } // namespace
@@ -71,7 +71,8 @@
         std::uint64_t const id = deadlines.begin()->second;
         auto& call = calls.find(id)->second;
         auto* connection = find_connection(call.connection_id);
-        // Quiet for the whole call and for a while: new calls go to a new connection; this one is judged by PING.
+        // Nothing was received during this call nor within retire_after, so the connection may be dead: new calls go to
+        // a new one, while PING decides whether this one is closed.
         bool const quiet = connection != nullptr && connection->connected && connection->last_read < call.begun &&
                            now - connection->last_read >= options.retire_after;
         reset_stream(call);
@@ -171,7 +172,8 @@
 
 void h2_client::cancel(call_id id)
 {
-    // On the client thread the call may still wait among the timers; a later timer finds it started.
+    // On the client thread, submit() starts the call by a timer that may not have run yet. Timers of equal time run in
+    // the order in which they were added, so this one runs after the start.
     if (std::this_thread::get_id() == m_impl->thread.get_id()) {
         m_impl->timers.emplace(time_point{}, [this, id] { m_impl->cancel_call(id.value()); });
     } else {
--- a/src/transport/h2_client_connections.cpp
+++ b/src/transport/h2_client_connections.cpp
@@ -1,4 +1,4 @@
-/** @file h2_client_connections.cpp Connections of the HTTP/2 client: one for each peer, found silent by PING. */
+/** @file h2_client_connections.cpp Connections of the HTTP/2 client: one per peer, checked by PING. */
 #include "h2_client_impl.hpp"
 
 #include <sys/epoll.h>
@@ -12,7 +12,7 @@
 
 /** Bytes read per read() call. */
 constexpr std::size_t read_chunk = 16384;
-/** Streams a server may open towards us: none are used, the value only fills the SETTINGS frame. */
+/** Most streams that a server may open to the client. Servers open none; the value only fills the SETTINGS frame. */
 constexpr std::uint32_t settings_max_streams = 1000;
 
 } // namespace
@@ -81,7 +81,7 @@
     if (connection.broken) return;
     connection.broken = true;
     has_broken = true;
-    retire(connection); // first, so that a retry made by a callback below opens a new connection
+    retire(connection); // first, so that a retry from a callback below opens a new connection
     auto const open = connection.calls;
     for (auto id : open) {
         auto found = calls.find(id);
@@ -145,13 +145,13 @@
     connection.out.erase(0, written_total);
     poll_write(connection, !connection.out.empty());
     if (!nghttp2_session_want_read(connection.session) && !nghttp2_session_want_write(connection.session)) {
-        fail_connection(connection, "peer ended the session");
+        fail_connection(connection, "HTTP/2 session closed by peer");
     }
 }
 
 void h2_client::impl::flush_dirty()
 {
-    // A flush may end calls whose callbacks start new ones, so more connections may become dirty meanwhile.
+    // A flush may finish calls whose callbacks start new ones, which can mark more connections dirty.
     while (!dirty.empty()) {
         auto const ids = std::move(dirty);
         dirty.clear();
@@ -180,7 +180,7 @@
         if (connection->ping_open) {
             if (now - connection->ping_sent < options.ping_timeout) continue;
             ++silent;
-            fail_connection(*connection, "connection went silent");
+            fail_connection(*connection, "no byte received after PING");
         } else if (now - quiet_since >= options.ping_after) {
             nghttp2_submit_ping(connection->session, NGHTTP2_FLAG_NONE, nullptr);
             connection->ping_open = true;
--- a/src/transport/h2_client_impl.hpp
+++ b/src/transport/h2_client_impl.hpp
@@ -1,5 +1,4 @@
-/** @file h2_client_impl.hpp State of the HTTP/2 client, its calls and connections, shared by its source files
- * (internal). */
+/** @file h2_client_impl.hpp State of the HTTP/2 client, its calls and connections; internal to its source files. */
 #pragma once
 
 #include <cornelspring/transport.hpp>
@@ -15,59 +14,59 @@
 
 namespace cornelspring {
 
-/** One request in progress. */
+/** One request in flight. */
 struct h2_call {
-    std::uint64_t id = 0;            ///< Id given to the caller.
-    endpoint peer;                   ///< Where it goes.
-    http_request request;            ///< What it sends.
-    time_point begun;                ///< When it was started.
-    time_point deadline;             ///< When it is reset.
-    result_callback done;            ///< Result sink.
-    std::uint64_t connection_id = 0; ///< Connection it uses.
-    std::int32_t stream_id = -1;     ///< Stream once submitted.
-    bool sent = false;               ///< Its HEADERS frame was handed to the socket.
-    bool has_status = false;         ///< A :status header arrived.
-    http_response response;          ///< What has arrived.
+    std::uint64_t id = 0;            ///< Id returned by submit().
+    endpoint peer;                   ///< Server it is sent to.
+    http_request request;            ///< Request to send.
+    time_point begun;                ///< Time at which it was started.
+    time_point deadline;             ///< Time at which its stream is reset.
+    result_callback done;            ///< Receives the result.
+    std::uint64_t connection_id = 0; ///< Connection it uses, or 0.
+    std::int32_t stream_id = -1;     ///< Stream; -1 until it is submitted.
+    bool sent = false;               ///< Its HEADERS frame was serialised for sending.
+    bool has_status = false;         ///< A :status header was received.
+    http_response response;          ///< Response received so far.
     std::size_t body_offset = 0;     ///< Request body bytes handed to nghttp2.
 };
 
 /** One connection to a peer. */
 struct h2_connection {
-    std::uint64_t id = 0;               ///< Id, used as the poll data.
-    endpoint peer;                      ///< The peer.
+    std::uint64_t id = 0;               ///< Id, used as epoll user data.
+    endpoint peer;                      ///< Server it is connected to.
     int fd = -1;                        ///< Socket.
     nghttp2_session* session = nullptr; ///< Session once connected.
     bool connected = false;             ///< TCP connect completed.
-    time_point connect_deadline;        ///< Give up connecting at this time.
-    time_point last_read;               ///< When a byte last arrived (or the connection opened).
-    time_point busy_since;              ///< When its oldest open call began, or the first after being idle.
-    bool ping_open = false;             ///< A PING waits for an answer.
-    time_point ping_sent;               ///< When it was sent.
+    time_point connect_deadline;        ///< The connect times out at this time.
+    time_point last_read;               ///< Time of the last byte received, or of the connect.
+    time_point busy_since;              ///< Start of the first call since the connection was idle.
+    bool ping_open = false;             ///< A PING was sent and nothing received since.
+    time_point ping_sent;               ///< Time at which the PING was sent.
     std::string out;                    ///< Frames not yet written.
-    std::set<std::uint64_t> calls;      ///< Calls waiting for or open on this connection.
+    std::set<std::uint64_t> calls;      ///< Calls that wait for the connect or have a stream.
     bool polls_write = false;           ///< Registered for write events.
-    bool retiring = false;              ///< Takes no new call; closed once its calls have ended.
+    bool retiring = false;              ///< Takes no new call; closed when its calls have finished.
     bool broken = false;                ///< Failed; close it.
 };
 
-/** State of the client task. */
+/** State of the client; owned by its thread except for the queue and the atomics. */
 struct h2_client::impl {
     client_options options;                                                             ///< Limits.
-    std::shared_ptr<detail::task_queue> queue = std::make_shared<detail::task_queue>(); ///< Inbox.
-    int epoll_fd = -1;                                                                  ///< Event poll descriptor.
+    std::shared_ptr<detail::task_queue> queue = std::make_shared<detail::task_queue>(); ///< Tasks posted to the thread.
+    int epoll_fd = -1;                                                                  ///< epoll descriptor.
     std::thread thread;                                                                 ///< Client thread.
-    std::atomic<bool> stopping{false};                                                  ///< Set by the destructor.
+    std::atomic<bool> stopping{false};                                                  ///< Set by stop().
     std::atomic<std::uint64_t> next_id{1};                                              ///< Next call id.
-    std::uint64_t next_connection_id = 1;                                               ///< 0 stands for the inbox.
-    std::unordered_map<std::uint64_t, h2_call> calls;                                   ///< Calls in progress.
+    std::uint64_t next_connection_id = 1;                                               ///< 0 is the queue's epoll id.
+    std::unordered_map<std::uint64_t, h2_call> calls;                                   ///< Calls in flight, by id.
     std::set<std::pair<time_point, std::uint64_t>> deadlines;                           ///< Calls by deadline.
-    std::multimap<time_point, std::function<void()>> timers;                            ///< Tasks for later.
+    std::multimap<time_point, std::function<void()>> timers;                            ///< Tasks by due time.
     std::unordered_map<std::uint64_t, std::unique_ptr<h2_connection>> connections;      ///< Connections by id.
     std::map<endpoint, std::uint64_t> current;      ///< Connection that takes new calls, by peer.
     std::set<std::uint64_t> dirty;                  ///< Connections with frames to write.
-    nghttp2_session_callbacks* callbacks = nullptr; ///< Callback table.
-    time_point next_check;                          ///< Next check for silence.
-    bool has_broken = false;                        ///< Some connection waits to be closed.
+    nghttp2_session_callbacks* callbacks = nullptr; ///< nghttp2 callback table.
+    time_point next_check;                          ///< Time of the next check_connections().
+    bool has_broken = false;                        ///< Some connection is marked broken.
     std::atomic<std::uint64_t> opened{0};           ///< See client_stats.
     std::atomic<std::uint64_t> silent{0};           ///< See client_stats.
     std::atomic<std::uint64_t> sent_bytes{0};       ///< See client_stats.
@@ -75,13 +74,13 @@
 
     /** Body of the thread. */
     void loop();
-    /** @return the wait until the next deadline, timer or check. */
+    /** @return the time until the next deadline, timer or check. */
     milliseconds time_to_next(time_point now) const;
-    /** Takes in a call: finds its connection and opens its stream, or lets it wait for the connect. */
+    /** Assigns a call to a connection and opens its stream, at once or when the connect has completed. */
     void start_call(h2_call call);
-    /** Drops a call without a result and resets its stream. */
+    /** Removes a call without running its callback and resets its stream. */
     void cancel_call(std::uint64_t id);
-    /** @return the connection that takes new calls to @p peer, opening one when needed; null when it cannot. */
+    /** @return the connection that takes new calls to @p peer, opening one when needed; null when that fails. */
     h2_connection* connection_for(endpoint const& peer, time_point now);
     /** Submits a call's request on a connected connection. */
     void open_stream(h2_connection& connection, h2_call& call);
@@ -89,35 +88,35 @@
     void on_event(h2_connection& connection, std::uint32_t events);
     /** Starts the HTTP/2 session once TCP is connected. */
     void on_connected(h2_connection& connection);
-    /** Reads all that has arrived. */
+    /** Reads from the socket until no more data is available. */
     void read_from(h2_connection& connection);
-    /** Writes what the session has to send. */
+    /** Writes the session's pending frames to the socket. */
     void flush(h2_connection& connection);
-    /** Flushes every connection marked dirty since the last time. */
+    /** Flushes every connection that is marked dirty. */
     void flush_dirty();
-    /** Asks for write events, or no longer. */
+    /** Enables or disables write events of a connection. */
     void poll_write(h2_connection& connection, bool wanted);
     /** Sends RST_STREAM for a call's stream. */
     void reset_stream(h2_call const& call);
-    /** Ends a call and reports its result. */
+    /** Removes a call and runs its callback with the result. */
     void finish(std::uint64_t id, send_outcome outcome, std::string detail);
-    /** Forgets a call's deadline and place on its connection. */
+    /** Removes a call's deadline and its entry in its connection. */
     void release(h2_call const& call);
-    /** Lets a connection take no new calls; it is closed when its calls have ended. */
+    /** Stops a connection from taking new calls; it is closed when its calls have finished. */
     void retire(h2_connection& connection);
-    /** Ends every call of a connection and marks it for closing. */
+    /** Finishes every call of a connection and marks it for closing. */
     void fail_connection(h2_connection& connection, std::string const& why);
-    /** Ends the calls whose deadline has passed. */
+    /** Finishes the calls whose deadline has passed. */
     void expire(time_point now);
     /** Runs the tasks that are due. */
     void run_timers(time_point now);
-    /** Finds silent, retired and unconnectable connections. */
+    /** Sends PINGs, and fails connections that time out or are retired and have no calls. */
     void check_connections(time_point now);
     /** Closes the connections marked broken. */
     void close_finished();
-    /** @return the call of a stream, or null when it has ended. */
+    /** @return the call of a stream, or null when it has finished. */
     h2_call* call_of_stream(nghttp2_session* session, std::int32_t stream_id);
-    /** Makes the table of nghttp2's callbacks. */
+    /** Creates the nghttp2 callback table. */
     void make_callbacks();
     /** @return the connection with this id, or null. */
     h2_connection* find_connection(std::uint64_t id);
--- a/src/transport/h2_client_streams.cpp
+++ b/src/transport/h2_client_streams.cpp
@@ -1,4 +1,5 @@
-/** @file h2_client_streams.cpp Streams of the HTTP/2 client: requests out, responses in, by nghttp2's callbacks. */
+/** @file h2_client_streams.cpp Streams of the HTTP/2 client: sends requests and receives responses (nghttp2 callbacks).
+ */
 #include "h2_client_impl.hpp"
 
 #include <algorithm>
@@ -6,10 +7,10 @@
 namespace cornelspring {
 namespace {
 
-/** @return the client that nghttp2 calls back. */
+/** @return the client that was passed to nghttp2 as user data. */
 h2_client::impl& state_of(void* user_data) { return *static_cast<h2_client::impl*>(user_data); }
 
-/** nghttp2 callbacks of the client; they forward to its state. */
+/** nghttp2 callbacks of the client. */
 struct client_callbacks {
     static int on_frame_send(nghttp2_session* session, nghttp2_frame const* frame, void* user_data)
     {
@@ -66,7 +67,7 @@
             self.finish(id, send_outcome::answered, "");
             return 0;
         }
-        // REFUSED_STREAM promises that the peer did not process the request (RFC 9113, 8.7): it did not run.
+        // REFUSED_STREAM guarantees that the peer did not process the request (RFC 9113, 8.7): it did not run.
         bool const ran_maybe = call->sent && error_code != NGHTTP2_REFUSED_STREAM;
         self.finish(id, ran_maybe ? send_outcome::unknown : send_outcome::not_sent,
                     "stream closed with code " + std::to_string(error_code));
@@ -105,7 +106,7 @@
 
 h2_call* h2_client::impl::call_of_stream(nghttp2_session* session, std::int32_t stream_id)
 {
-    // The stream's user data is the call id itself, so a stream that outlives its call finds nothing.
+    // The stream's user data is the call id, not a pointer, so that a stream may outlive its call.
     auto const id = reinterpret_cast<std::uintptr_t>(nghttp2_session_get_stream_user_data(session, stream_id));
     if (id == 0) return nullptr;
     auto found = calls.find(id);
--- a/src/transport/h2_server.cpp
+++ b/src/transport/h2_server.cpp
@@ -18,40 +18,40 @@
 /** Bytes read from a socket per read() call. */
 constexpr std::size_t read_chunk = 16384;
 
-/** A request being received or answered on one stream. */
+/** A request and its response on one stream. */
 struct server_stream {
-    http_request request;   ///< What has arrived so far.
-    bool too_large = false; ///< The body passed the limit; the answer will be 413.
+    http_request request;   ///< Request received so far.
+    bool too_large = false; ///< The body exceeds the limit; the response will be 413.
     std::string body;       ///< Response body being sent.
     std::size_t offset = 0; ///< Bytes of body already handed to nghttp2.
 };
 
 /** One accepted connection and its nghttp2 session. */
 struct server_connection {
-    std::uint64_t id = 0;                          ///< Id used by replies to find it.
+    std::uint64_t id = 0;                          ///< Id by which responses find it.
     int fd = -1;                                   ///< Socket.
     nghttp2_session* session = nullptr;            ///< Server session.
     std::map<std::int32_t, server_stream> streams; ///< Open streams by id.
     std::string out;                               ///< Serialised frames not yet written.
     bool broken = false;                           ///< Read or write failed; close it.
-    bool silent = false;                           ///< Fault injection: neither read nor written any more.
-    std::function<void(std::int32_t)> on_complete; ///< Called when a request has fully arrived.
+    bool silent = false;                           ///< Fault injection: no longer read or written.
+    std::function<void(std::int32_t)> on_complete; ///< Called when a request is complete.
     std::size_t max_body = 0;                      ///< Body limit in bytes.
 };
 
 } // namespace
 
-/** State of the server task; touched only by its thread except where noted. */
+/** State of the server; owned by its thread except for the queue and the atomics. */
 struct h2_server::impl {
     server_options options;  ///< Address and limits.
     request_handler handler; ///< Application handler.
     int listen_fd = -1;      ///< Listening socket; -1 once draining.
     std::uint16_t port = 0;  ///< Bound port.
-    std::shared_ptr<detail::task_queue> queue = std::make_shared<detail::task_queue>(); ///< Inbox.
+    std::shared_ptr<detail::task_queue> queue = std::make_shared<detail::task_queue>(); ///< Tasks posted to the thread.
     std::thread thread;                                                                 ///< The server thread.
     std::atomic<bool> stopping{false};                                                  ///< Set by the destructor.
     std::atomic<bool> frozen{false};                                         ///< Fault injection: read nothing.
-    std::atomic<std::size_t> pending{0};                                     ///< Requests dispatched, not answered.
+    std::atomic<std::size_t> pending{0};                                     ///< Requests without a response yet.
     std::map<std::uint64_t, std::unique_ptr<server_connection>> connections; ///< Open connections.
     std::uint64_t next_id = 1;                                               ///< Next connection id.
     std::function<void(time_point)> tick;                                    ///< Periodic hook.
@@ -72,7 +72,7 @@
 /** @return the connection passed as nghttp2 user data. */
 server_connection& connection_of(void* user_data) { return *static_cast<server_connection*>(user_data); }
 
-/** Tells the handler of @p stream that nobody waits for its answer any more. */
+/** Signals to the handler of @p stream that its response is no longer needed. */
 void cancel(server_stream& stream)
 {
     if (stream.request.cancelled != nullptr) stream.request.cancelled->store(true);
@@ -326,7 +326,7 @@
         if (first_connection > 1 && fds[1].revents != 0 && !frozen) accept_all();
         for (std::size_t i = first_connection; i < fds.size(); ++i) {
             auto& connection = *polled[i - first_connection];
-            // It may have been frozen while this thread waited; what was sent after that stays unread.
+            // The server may have been frozen during poll(); data sent after that must stay unread.
             bool const readable = !frozen && (fds[i].revents & POLLIN) != 0;
             if (readable || (fds[i].revents & (POLLHUP | POLLERR)) != 0) read_from(connection);
             if (!connection.broken) flush(connection);
--- a/src/transport/http_client.cpp
+++ b/src/transport/http_client.cpp
@@ -1,4 +1,4 @@
-/** @file http_client.cpp HTTP/1.1 client on libwebsockets: one service thread, one connection per request. */
+/** @file http_client.cpp HTTP/1.1 client on libwebsockets: one service thread and one connection per request. */
 #include "../net/socket.hpp"
 
 #include <cornelspring/transport.hpp>
@@ -13,28 +13,28 @@
 namespace cornelspring {
 namespace {
 
-/** How often the service thread checks deadlines, in microseconds. */
+/** Interval between checks of the deadlines, in microseconds. */
 constexpr lws_usec_t deadline_check_us = 5 * LWS_US_PER_MS;
-/** Room for request headers added by the client. */
+/** Space for request headers added by the client. */
 constexpr std::size_t header_room = 1024;
-/** Receive buffer for one read of a response body. */
+/** Size of the buffer for one read of a response body. */
 constexpr std::size_t read_room = 4096;
 
-/** One request in progress. */
+/** One request in flight. */
 struct pending_request {
     std::uint64_t id = 0; ///< Id, kept as the connection's user data.
-    endpoint peer;        ///< Target.
-    http_request request; ///< What is sent.
-    time_point deadline;  ///< When it is given up.
-    result_callback done; ///< Result sink.
+    endpoint peer;        ///< Server it is sent to.
+    http_request request; ///< Request to send.
+    time_point deadline;  ///< Time at which it times out.
+    result_callback done; ///< Receives the result.
     lws* wsi = nullptr;   ///< Connection, once opened.
-    bool sent = false;    ///< Headers went out.
-    client_result result; ///< What has arrived.
+    bool sent = false;    ///< Its headers were written.
+    client_result result; ///< Result received so far.
 };
 
 } // namespace
 
-/** State of the client task. */
+/** State of the client; owned by the service thread except where noted. */
 struct http_client::impl {
     lws_context* context = nullptr;                 ///< Client-only context.
     std::thread thread;                             ///< Service thread.
@@ -43,10 +43,10 @@
     std::vector<pending_request> inbox;             ///< Requests not yet started.
     std::map<std::uint64_t, pending_request> calls; ///< Started requests by id.
     std::uint64_t next_id = 1;                      ///< Next id (guarded by mutex).
-    /** Deadline check timer: the lws list node first, so the node's address is the timer's. */
+    /** Timer of the deadline check. The libwebsockets list node must be first: on_timer() casts its address back. */
     struct timer_node {
-        lws_sorted_usec_list_t sul{}; ///< Node in lws' timer list.
-        impl* owner = nullptr;        ///< Client it checks.
+        lws_sorted_usec_list_t sul{}; ///< Node in libwebsockets' timer list.
+        impl* owner = nullptr;        ///< Client whose deadlines it checks.
     } timer;
 
     void start_pending();
@@ -77,7 +77,7 @@
     response.headers.push_back({name, value});
 }
 
-/** Adds the request's own headers while the handshake is written. */
+/** Appends the request's content-length and headers to the handshake that libwebsockets writes. */
 int append_headers(lws* wsi, pending_request& call, void* in, std::size_t length)
 {
     auto** p = static_cast<unsigned char**>(in);
@@ -152,13 +152,13 @@
         return 0;
     case LWS_CALLBACK_CLOSED_CLIENT_HTTP:
         self.finish(id_of(wsi), call != nullptr && call->sent ? send_outcome::unknown : send_outcome::not_sent,
-                    "connection closed before the answer was complete");
+                    "connection closed before the response was complete");
         return 0;
     default: return lws_callback_http_dummy(wsi, reason, user, in, length);
     }
 }
 
-/** The client's one protocol. */
+/** Protocol table of the client. */
 lws_protocols const client_protocols[] = {
     {"cornel-http-client", client_callback, 0, 0, 0, nullptr, 0},
     {nullptr, nullptr, 0, 0, 0, nullptr, 0},
--- a/src/transport/http_server.cpp
+++ b/src/transport/http_server.cpp
@@ -12,33 +12,33 @@
 namespace cornelspring {
 namespace {
 
-/** Room for the status line and headers of a response. */
+/** Size of the buffer for the status line and headers of a response. */
 constexpr std::size_t header_room = 4096;
 
 /** State of one HTTP transaction on a connection. */
 struct transaction {
-    std::uint64_t id = 0;         ///< Id that replies use to find it.
+    std::uint64_t id = 0;         ///< Id by which responses find it; 0 once written.
     http_request request;         ///< The request.
-    bool too_large = false;       ///< The body passed the limit.
-    bool has_response = false;    ///< A reply arrived and waits to be written.
-    bool headers_written = false; ///< The status line and headers are out.
-    http_response response;       ///< The reply.
+    bool too_large = false;       ///< The body exceeds the limit.
+    bool has_response = false;    ///< The response is set and not yet written.
+    bool headers_written = false; ///< The status line and headers are written.
+    http_response response;       ///< The response.
 };
 
-/** What libwebsockets keeps per connection: a pointer to our own transaction. */
+/** Per-connection user data of libwebsockets. */
 struct session_slot {
     transaction* current; ///< Transaction in progress, or null.
 };
 
-/** A reply on its way from a handler to the service thread. */
+/** A response passed from a handler to the service thread. */
 struct queued_reply {
     std::uint64_t id;       ///< Transaction id.
-    http_response response; ///< The reply.
+    http_response response; ///< The response.
 };
 
 } // namespace
 
-/** State of the server task; the service thread owns all but the reply queue. */
+/** State of the server; owned by the service thread except for the response queue and the atomics. */
 struct http_server::impl {
     server_options options;              ///< Address and limits.
     request_handler handler;             ///< Application handler.
@@ -46,9 +46,9 @@
     std::uint16_t port = 0;              ///< Bound port.
     std::thread thread;                  ///< Service thread.
     std::atomic<bool> stopping{false};   ///< Set by the destructor.
-    std::atomic<std::size_t> pending{0}; ///< Requests dispatched and not yet written.
-    std::mutex mutex;                    ///< Guards replies.
-    std::vector<queued_reply> replies;   ///< Replies from handlers.
+    std::atomic<std::size_t> pending{0}; ///< Requests whose response is not yet written.
+    std::mutex mutex;                    ///< Guards the response queue.
+    std::vector<queued_reply> replies;   ///< Responses from handlers.
     std::map<std::uint64_t, lws*> live;  ///< Connections by transaction id.
     std::uint64_t next_id = 1;           ///< Next transaction id.
 
@@ -113,7 +113,7 @@
     }
 }
 
-/** The one protocol of the server. */
+/** Protocol table of the server. */
 lws_protocols const protocols[] = {
     {"cornel-http", callback, sizeof(session_slot), 0, 0, nullptr, 0},
     {nullptr, nullptr, 0, 0, 0, nullptr, 0},
--- a/src/transport/signals.cpp
+++ b/src/transport/signals.cpp
@@ -1,4 +1,4 @@
-/** @file signals.cpp Stop signals of the programs that wait for them on their main thread. */
+/** @file signals.cpp Stop signals, for programs whose main thread waits for them. */
 #include <cornelspring/transport.hpp>
 
 #include <unistd.h>
