--- a/src/transport/h2_client_streams.cpp
+++ b/src/transport/h2_client_streams.cpp
@@ -1,5 +1,4 @@
-/** @file h2_client_streams.cpp Streams of the HTTP/2 client: sends requests and receives responses (nghttp2 callbacks).
- */
+/** @file h2_client_streams.cpp Streams of the HTTP/2 client, driven by nghttp2 callbacks. */
 #include "h2_client_impl.hpp"
 
 #include <algorithm>
--- a/tests/test_transport_contract.cpp
+++ b/tests/test_transport_contract.cpp
@@ -1,4 +1,5 @@
-/** @file test_transport_contract.cpp Contract of the HTTP/2 client: what is known of a request under each fault. */
+/** @file test_transport_contract.cpp Contract of the HTTP/2 client: the outcome it reports for a request under each
+ * fault. */
 #include <cornelspring/transport.hpp>
 
 #include <atomic>
@@ -11,16 +12,16 @@
 
 namespace {
 
-/** Deadline of calls that must end long before it. */
+/** Timeout of calls that must finish long before it. */
 constexpr milliseconds far_deadline{20000};
-/** Deadline of calls that are meant to time out. */
+/** Timeout of calls that are expected to time out. */
 constexpr milliseconds near_deadline{300};
 
-/** A server whose handler answers, or keeps the reply, as told. */
+/** A server whose handler echoes the request body, or holds its response while `hold` is set. */
 struct test_server {
     std::atomic<int> received{0};
     std::atomic<bool> hold{false};
-    std::vector<respond_fn> held; ///< Touched on the server thread only.
+    std::vector<respond_fn> held; ///< Used only on the server thread.
     h2_server server{server_options{}, [this](http_request const& request, respond_fn reply) {
                          ++received;
                          if (hold) {
@@ -49,17 +50,17 @@
 {
     struct fault_case {
         char const* name;
-        std::function<void(test_server&)> provoke; ///< Before the call.
+        std::function<void(test_server&)> provoke; ///< Injects the fault before the call.
         milliseconds deadline;
         send_outcome outcome;
     };
     fault_case const cases[] = {
         {"healthy", [](test_server&) {}, far_deadline, send_outcome::answered},
-        {"reply never comes", [](test_server& s) { s.hold = true; }, near_deadline, send_outcome::unknown},
+        {"response is never sent", [](test_server& s) { s.hold = true; }, near_deadline, send_outcome::unknown},
         {"server frozen after the connection opened", [](test_server& s) { s.server.set_frozen(true); }, far_deadline,
          send_outcome::unknown},
-        {"connection silent for good", [](test_server& s) { s.server.silence_open_connections(); }, far_deadline,
-         send_outcome::unknown},
+        {"connection no longer read or written", [](test_server& s) { s.server.silence_open_connections(); },
+         far_deadline, send_outcome::unknown},
         {"server drains: the old connection got GOAWAY and nothing listens",
          [](test_server& s) { s.server.drain(milliseconds(50)); }, far_deadline, send_outcome::not_sent},
     };
@@ -69,19 +70,20 @@
         h2_client client;
         REQUIRE(client.call(server.address(), ping_request(), far_deadline).outcome == send_outcome::answered);
         item.provoke(server);
-        std::this_thread::sleep_for(milliseconds(100)); // the fault reaches the server's thread
+        std::this_thread::sleep_for(milliseconds(100)); // until the server thread has applied the fault
         auto const begun = clock::now();
         auto const result = client.call(server.address(), ping_request(), item.deadline);
         CHECK(result.outcome == item.outcome);
-        // Long before a far deadline: a silent connection is found by PING, not by the caller's patience.
+        // Long before the timeout, because PING detects an unresponsive connection.
         CHECK(clock::now() - begun < far_deadline / 2);
         server.server.set_frozen(false);
     }
 }
 
-TEST_CASE("a server reads nothing that is sent after it was frozen, however late its thread wakes")
+TEST_CASE("a server reads nothing that is sent after it was frozen, however late its thread wakes up")
 {
-    // The thread waits for bytes when it is frozen, and may wake to both the news and the bytes.
+    // The server thread waits in poll() when set_frozen() is called. It may wake up with both the wake-up event and
+    // the request's bytes ready, and must then leave the bytes unread.
     constexpr int rounds = 200;
     constexpr milliseconds patience{4};
     test_server server;
@@ -98,7 +100,7 @@
     CHECK(read_while_frozen == 0);
 }
 
-TEST_CASE("nothing listening is reported as not sent")
+TEST_CASE("a call to a port on which nothing listens is reported as not sent")
 {
     std::uint16_t port = 0;
     {
@@ -110,7 +112,7 @@
     CHECK(result.outcome == send_outcome::not_sent);
 }
 
-TEST_CASE("after a connection went silent, new calls use a new one")
+TEST_CASE("after a connection became unresponsive, new calls use a new one")
 {
     test_server server;
     h2_client client;
@@ -122,7 +124,7 @@
     CHECK(client.stats().connections_opened == 2);
 }
 
-TEST_CASE("late and reordered replies reach only their own callers")
+TEST_CASE("late and reordered responses reach only their own calls")
 {
     test_server server;
     h2_client client;
@@ -137,15 +139,15 @@
     }
     while (server.received < calls)
         std::this_thread::sleep_for(milliseconds(5));
-    // Answer in reverse order, each with the number of its own call.
+    // Respond in reverse order, each time with the number of the call.
     server.server.post([&server] {
         for (int i = calls - 1; i >= 0; --i)
-            server.held[static_cast<std::size_t>(i)](json_response(200, "answer " + std::to_string(i)));
+            server.held[static_cast<std::size_t>(i)](json_response(200, "response " + std::to_string(i)));
     });
     for (int i = 0; i < calls; ++i) {
         auto const result = results[static_cast<std::size_t>(i)].get();
         CHECK(result.outcome == send_outcome::answered);
-        CHECK(result.response.body == "answer " + std::to_string(i));
+        CHECK(result.response.body == "response " + std::to_string(i));
     }
 }
 
