--- a/src/protocol/messages.cpp
+++ b/src/protocol/messages.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 /** Throws a bad_request error that says which rule field @p name breaks. */
-[[noreturn]] void refuse(std::string const& name, std::string const& rule)
+[[noreturn]] void reject(std::string const& name, std::string const& rule)
 {
     throw error(error_kind::bad_request, "field '" + name + "' " + rule + ".",
                 "Correct '" + name + "' and send again.");
@@ -22,11 +22,11 @@
 constexpr std::size_t max_id_length = 128;
 
 /** Rejects a body that is not an object or has a field not in @p allowed. */
-void only_fields(nlohmann::json const& in, std::set<std::string> const& allowed, std::string const& what)
+void check_fields(nlohmann::json const& in, std::set<std::string> const& allowed, std::string const& what)
 {
-    if (!in.is_object()) refuse("(body)", "must be a JSON object");
+    if (!in.is_object()) reject("(body)", "must be a JSON object");
     for (auto const& [key, item] : in.items()) {
-        if (allowed.count(key) == 0) refuse(key, "is not a field of " + what);
+        if (allowed.count(key) == 0) reject(key, "is not a field of " + what);
     }
 }
 
@@ -34,7 +34,7 @@
 void check_deadline(std::int64_t deadline_ms)
 {
     if (deadline_ms < 0 || deadline_ms > max_deadline_ms) {
-        refuse("deadline_ms", "must be from 0 to " + std::to_string(max_deadline_ms));
+        reject("deadline_ms", "must be from 0 to " + std::to_string(max_deadline_ms));
     }
 }
 
@@ -68,7 +68,7 @@
     in.at("terms").get_to(value.terms);
     in.at("k").get_to(value.k);
     in.at("deadline_ms").get_to(value.deadline_ms);
-    if (value.k < 1 || value.k > max_k) refuse("k", "must be from 1 to " + std::to_string(max_k));
+    if (value.k < 1 || value.k > max_k) reject("k", "must be from 1 to " + std::to_string(max_k));
 }
 
 void to_json(nlohmann::json& out, shard_response const& value)
@@ -95,17 +95,17 @@
 
 void from_json(nlohmann::json const& in, query_request& value)
 {
-    only_fields(in, {"service", "query", "k", "deadline_ms", "request_id"}, "a query");
+    check_fields(in, {"service", "query", "k", "deadline_ms", "request_id"}, "a query");
     in.at("service").get_to(value.service);
     in.at("query").get_to(value.query);
     value.k = in.value("k", 10);
     value.deadline_ms = in.value("deadline_ms", std::int64_t{0});
     value.request_id = in.value("request_id", std::string{});
-    if (value.service.empty()) refuse("service", "must name a service");
-    if (split_terms(value.query).empty()) refuse("query", "must hold at least one word");
-    if (value.k < 1 || value.k > max_k) refuse("k", "must be from 1 to " + std::to_string(max_k));
+    if (value.service.empty()) reject("service", "must name a service");
+    if (split_terms(value.query).empty()) reject("query", "must hold at least one word");
+    if (value.k < 1 || value.k > max_k) reject("k", "must be from 1 to " + std::to_string(max_k));
     check_deadline(value.deadline_ms);
-    if (value.request_id.size() > max_id_length) refuse("request_id", "must be at most 128 characters");
+    if (value.request_id.size() > max_id_length) reject("request_id", "must be at most 128 characters");
 }
 
 void to_json(nlohmann::json& out, query_response const& value)
@@ -143,17 +143,17 @@
 
 void from_json(nlohmann::json const& in, write_request& value)
 {
-    only_fields(in, {"service", "idempotency_key", "entity", "body", "deadline_ms"}, "a write");
+    check_fields(in, {"service", "idempotency_key", "entity", "body", "deadline_ms"}, "a write");
     in.at("service").get_to(value.service);
     in.at("idempotency_key").get_to(value.idempotency_key);
     in.at("entity").get_to(value.entity);
     in.at("body").get_to(value.body);
     value.deadline_ms = in.value("deadline_ms", std::int64_t{0});
-    if (value.service.empty()) refuse("service", "must name a service");
+    if (value.service.empty()) reject("service", "must name a service");
     if (value.idempotency_key.empty() || value.idempotency_key.size() > max_id_length) {
-        refuse("idempotency_key", "must have 1 to 128 characters");
+        reject("idempotency_key", "must have 1 to 128 characters");
     }
-    if (value.entity.empty()) refuse("entity", "must name what the write concerns");
+    if (value.entity.empty()) reject("entity", "must name what the write concerns");
     check_deadline(value.deadline_ms);
 }
 
--- a/src/transport/h2_client.cpp
+++ b/src/transport/h2_client.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-void h2_client::impl::release(h2_call const& call)
+void h2_client::impl::unregister_call(h2_call const& call)
 {
     deadlines.erase({call.deadline, call.id});
     if (auto* connection = find_connection(call.connection_id)) connection->calls.erase(call.id);
@@ -29,7 +29,7 @@
     if (found == calls.end()) return;
     h2_call call = std::move(found->second);
     calls.erase(found);
-    release(call);
+    unregister_call(call);
     client_result result;
     result.outcome = outcome;
     result.response = std::move(call.response);
@@ -44,25 +44,25 @@
     h2_call call = std::move(found->second);
     calls.erase(found);
     reset_stream(call);
-    release(call);
+    unregister_call(call);
 }
 
 void h2_client::impl::start_call(h2_call call)
 {
     std::uint64_t const id = call.id;
     auto const now = clock::now();
-    call.begun = now;
+    call.started_at = now;
     auto* connection = connection_for(call.peer, now);
     if (connection != nullptr) call.connection_id = connection->id;
     deadlines.insert({call.deadline, id});
-    auto& placed = calls.emplace(id, std::move(call)).first->second;
+    auto& added = calls.emplace(id, std::move(call)).first->second;
     if (connection == nullptr) {
-        finish(id, send_outcome::not_sent, "cannot connect to " + placed.peer.to_string());
+        finish(id, send_outcome::not_sent, "cannot connect to " + added.peer.to_string());
         return;
     }
     if (connection->calls.empty()) connection->busy_since = now;
     connection->calls.insert(id);
-    if (connection->connected) open_stream(*connection, placed);
+    if (connection->connected) open_stream(*connection, added);
 }
 
 void h2_client::impl::expire(time_point now)
@@ -73,11 +73,12 @@
         auto* connection = find_connection(call.connection_id);
         // Nothing was received during this call nor within retire_after, so the connection may be dead: new calls go to
         // a new one, while PING decides whether this one is closed.
-        bool const quiet = connection != nullptr && connection->connected && connection->last_read < call.begun &&
-                           now - connection->last_read >= options.retire_after;
+        bool const unresponsive = connection != nullptr && connection->connected &&
+                                  connection->last_read < call.started_at &&
+                                  now - connection->last_read >= options.retire_after;
         reset_stream(call);
         finish(id, call.sent ? send_outcome::unknown : send_outcome::not_sent, "timeout");
-        if (quiet) retire(*connection);
+        if (unresponsive) retire(*connection);
     }
 }
 
@@ -202,8 +203,8 @@
 void h2_client::drop_connections(endpoint const& peer)
 {
     post([this, peer] {
-        auto found = m_impl->current.find(peer);
-        if (found == m_impl->current.end()) return;
+        auto found = m_impl->connection_by_peer.find(peer);
+        if (found == m_impl->connection_by_peer.end()) return;
         if (auto* connection = m_impl->find_connection(found->second)) m_impl->fail_connection(*connection, "dropped");
     });
 }
--- a/src/transport/h2_client_connections.cpp
+++ b/src/transport/h2_client_connections.cpp
@@ -25,8 +25,8 @@
 
 h2_connection* h2_client::impl::connection_for(endpoint const& peer, time_point now)
 {
-    auto known = current.find(peer);
-    if (known != current.end()) return find_connection(known->second);
+    auto known = connection_by_peer.find(peer);
+    if (known != connection_by_peer.end()) return find_connection(known->second);
     int const fd = detail::connect_tcp(peer);
     if (fd < 0) return nullptr;
     ++opened;
@@ -42,7 +42,7 @@
     event.events = EPOLLIN | EPOLLOUT;
     event.data.u64 = raw->id;
     epoll_ctl(epoll_fd, EPOLL_CTL_ADD, fd, &event);
-    current[peer] = raw->id;
+    connection_by_peer[peer] = raw->id;
     connections.emplace(raw->id, std::move(connection));
     return raw;
 }
@@ -72,8 +72,8 @@
 void h2_client::impl::retire(h2_connection& connection)
 {
     connection.retiring = true;
-    auto known = current.find(connection.peer);
-    if (known != current.end() && known->second == connection.id) current.erase(known);
+    auto known = connection_by_peer.find(connection.peer);
+    if (known != connection_by_peer.end() && known->second == connection.id) connection_by_peer.erase(known);
 }
 
 void h2_client::impl::fail_connection(h2_connection& connection, std::string const& why)
@@ -128,12 +128,12 @@
         uint8_t const* data = nullptr;
         ssize_t const count = nghttp2_session_mem_send(connection.session, &data);
         if (count <= 0) break;
-        connection.out.append(reinterpret_cast<char const*>(data), static_cast<size_t>(count));
+        connection.send_buffer.append(reinterpret_cast<char const*>(data), static_cast<size_t>(count));
     }
     std::size_t written_total = 0;
-    while (written_total < connection.out.size()) {
-        ssize_t const written = send(connection.fd, connection.out.data() + written_total,
-                                     connection.out.size() - written_total, MSG_NOSIGNAL);
+    while (written_total < connection.send_buffer.size()) {
+        ssize_t const written = send(connection.fd, connection.send_buffer.data() + written_total,
+                                     connection.send_buffer.size() - written_total, MSG_NOSIGNAL);
         if (written < 0) {
             if (errno == EAGAIN || errno == EWOULDBLOCK) break;
             fail_connection(connection, "write failed");
@@ -142,8 +142,8 @@
         written_total += static_cast<std::size_t>(written);
     }
     sent_bytes += written_total;
-    connection.out.erase(0, written_total);
-    poll_write(connection, !connection.out.empty());
+    connection.send_buffer.erase(0, written_total);
+    poll_write(connection, !connection.send_buffer.empty());
     if (!nghttp2_session_want_read(connection.session) && !nghttp2_session_want_write(connection.session)) {
         fail_connection(connection, "HTTP/2 session closed by peer");
     }
@@ -176,12 +176,12 @@
             if (connection->retiring) fail_connection(*connection, "retired");
             continue;
         }
-        auto const quiet_since = std::max(connection->last_read, connection->busy_since);
+        auto const idle_since = std::max(connection->last_read, connection->busy_since);
         if (connection->ping_open) {
             if (now - connection->ping_sent < options.ping_timeout) continue;
             ++silent;
             fail_connection(*connection, "no byte received after PING");
-        } else if (now - quiet_since >= options.ping_after) {
+        } else if (now - idle_since >= options.ping_after) {
             nghttp2_submit_ping(connection->session, NGHTTP2_FLAG_NONE, nullptr);
             connection->ping_open = true;
             connection->ping_sent = now;
--- a/src/transport/h2_client_impl.hpp
+++ b/src/transport/h2_client_impl.hpp
@@ -19,7 +19,7 @@
     std::uint64_t id = 0;            ///< Id returned by submit().
     endpoint peer;                   ///< Server it is sent to.
     http_request request;            ///< Request to send.
-    time_point begun;                ///< Time at which it was started.
+    time_point started_at;           ///< Time at which it was started.
     time_point deadline;             ///< Time at which its stream is reset.
     result_callback done;            ///< Receives the result.
     std::uint64_t connection_id = 0; ///< Connection it uses, or 0.
@@ -42,7 +42,7 @@
     time_point busy_since;              ///< Start of the first call since the connection was idle.
     bool ping_open = false;             ///< A PING was sent and nothing received since.
     time_point ping_sent;               ///< Time at which the PING was sent.
-    std::string out;                    ///< Frames not yet written.
+    std::string send_buffer;            ///< Frames not yet written.
     std::set<std::uint64_t> calls;      ///< Calls that wait for the connect or have a stream.
     bool polls_write = false;           ///< Registered for write events.
     bool retiring = false;              ///< Takes no new call; closed when its calls have finished.
@@ -62,15 +62,15 @@
     std::set<std::pair<time_point, std::uint64_t>> deadlines;                           ///< Calls by deadline.
     std::multimap<time_point, std::function<void()>> timers;                            ///< Tasks by due time.
     std::unordered_map<std::uint64_t, std::unique_ptr<h2_connection>> connections;      ///< Connections by id.
-    std::map<endpoint, std::uint64_t> current;      ///< Connection that takes new calls, by peer.
-    std::set<std::uint64_t> dirty;                  ///< Connections with frames to write.
-    nghttp2_session_callbacks* callbacks = nullptr; ///< nghttp2 callback table.
-    time_point next_check;                          ///< Time of the next check_connections().
-    bool has_broken = false;                        ///< Some connection is marked broken.
-    std::atomic<std::uint64_t> opened{0};           ///< See client_stats.
-    std::atomic<std::uint64_t> silent{0};           ///< See client_stats.
-    std::atomic<std::uint64_t> sent_bytes{0};       ///< See client_stats.
-    std::atomic<std::uint64_t> received_bytes{0};   ///< See client_stats.
+    std::map<endpoint, std::uint64_t> connection_by_peer; ///< Connection that takes new calls, by peer.
+    std::set<std::uint64_t> dirty;                        ///< Connections with frames to write.
+    nghttp2_session_callbacks* callbacks = nullptr;       ///< nghttp2 callback table.
+    time_point next_check;                                ///< Time of the next check_connections().
+    bool has_broken = false;                              ///< Some connection is marked broken.
+    std::atomic<std::uint64_t> opened{0};                 ///< See client_stats.
+    std::atomic<std::uint64_t> silent{0};                 ///< See client_stats.
+    std::atomic<std::uint64_t> sent_bytes{0};             ///< See client_stats.
+    std::atomic<std::uint64_t> received_bytes{0};         ///< See client_stats.
 
     /** Body of the thread. */
     void loop();
@@ -101,7 +101,7 @@
     /** Removes a call and runs its callback with the result. */
     void finish(std::uint64_t id, send_outcome outcome, std::string detail);
     /** Removes a call's deadline and its entry in its connection. */
-    void release(h2_call const& call);
+    void unregister_call(h2_call const& call);
     /** Stops a connection from taking new calls; it is closed when its calls have finished. */
     void retire(h2_connection& connection);
     /** Finishes every call of a connection and marks it for closing. */
--- a/src/transport/h2_client_streams.cpp
+++ b/src/transport/h2_client_streams.cpp
@@ -67,8 +67,8 @@
             return 0;
         }
         // REFUSED_STREAM guarantees that the peer did not process the request (RFC 9113, 8.7): it did not run.
-        bool const ran_maybe = call->sent && error_code != NGHTTP2_REFUSED_STREAM;
-        self.finish(id, ran_maybe ? send_outcome::unknown : send_outcome::not_sent,
+        bool const may_have_run = call->sent && error_code != NGHTTP2_REFUSED_STREAM;
+        self.finish(id, may_have_run ? send_outcome::unknown : send_outcome::not_sent,
                     "stream closed with code " + std::to_string(error_code));
         return 0;
     }
--- a/src/transport/h2_server.cpp
+++ b/src/transport/h2_server.cpp
@@ -28,15 +28,15 @@
 
 /** One accepted connection and its nghttp2 session. */
 struct server_connection {
-    std::uint64_t id = 0;                          ///< Id by which responses find it.
-    int fd = -1;                                   ///< Socket.
-    nghttp2_session* session = nullptr;            ///< Server session.
-    std::map<std::int32_t, server_stream> streams; ///< Open streams by id.
-    std::string out;                               ///< Serialised frames not yet written.
-    bool broken = false;                           ///< Read or write failed; close it.
-    bool silent = false;                           ///< Fault injection: no longer read or written.
-    std::function<void(std::int32_t)> on_complete; ///< Called when a request is complete.
-    std::size_t max_body = 0;                      ///< Body limit in bytes.
+    std::uint64_t id = 0;                                  ///< Id by which responses find it.
+    int fd = -1;                                           ///< Socket.
+    nghttp2_session* session = nullptr;                    ///< Server session.
+    std::map<std::int32_t, server_stream> streams;         ///< Open streams by id.
+    std::string send_buffer;                               ///< Serialised frames not yet written.
+    bool broken = false;                                   ///< Read or write failed; close it.
+    bool silent = false;                                   ///< Fault injection: no longer read or written.
+    std::function<void(std::int32_t)> on_request_complete; ///< Called when a request is complete.
+    std::size_t max_body = 0;                              ///< Body limit in bytes.
 };
 
 } // namespace
@@ -62,9 +62,9 @@
     void read_from(server_connection& connection);
     void flush(server_connection& connection);
     void dispatch(server_connection& connection, std::int32_t stream_id);
-    void answer(std::uint64_t connection_id, std::int32_t stream_id, http_response response);
+    void send_response(std::uint64_t connection_id, std::int32_t stream_id, http_response response);
     void close_broken();
-    void go_away();
+    void send_goaway();
 };
 
 namespace {
@@ -73,7 +73,7 @@
 server_connection& connection_of(void* user_data) { return *static_cast<server_connection*>(user_data); }
 
 /** Signals to the handler of @p stream that its response is no longer needed. */
-void cancel(server_stream& stream)
+void mark_cancelled(server_stream& stream)
 {
     if (stream.request.cancelled != nullptr) stream.request.cancelled->store(true);
 }
@@ -127,16 +127,16 @@
     auto& streams = connection_of(user_data).streams;
     auto found = streams.find(stream_id);
     if (found == streams.end()) return 0;
-    cancel(found->second);
+    mark_cancelled(found->second);
     streams.erase(found);
     return 0;
 }
 
 int on_frame_recv(nghttp2_session*, nghttp2_frame const* frame, void* user_data)
 {
-    bool const ends = (frame->hd.flags & NGHTTP2_FLAG_END_STREAM) != 0;
+    bool const ends_stream = (frame->hd.flags & NGHTTP2_FLAG_END_STREAM) != 0;
     bool const carries_request = frame->hd.type == NGHTTP2_HEADERS || frame->hd.type == NGHTTP2_DATA;
-    if (ends && carries_request) connection_of(user_data).on_complete(frame->hd.stream_id);
+    if (ends_stream && carries_request) connection_of(user_data).on_request_complete(frame->hd.stream_id);
     return 0;
 }
 
@@ -161,28 +161,28 @@
     ++pending;
     std::weak_ptr<detail::task_queue> inbox = queue;
     std::uint64_t const connection_id = connection.id;
-    auto reply = [this, inbox, connection_id, stream_id](http_response response) {
+    auto respond = [this, inbox, connection_id, stream_id](http_response response) {
         if (auto target = inbox.lock()) {
             target->post([this, connection_id, stream_id, response = std::move(response)]() mutable {
-                answer(connection_id, stream_id, std::move(response));
+                send_response(connection_id, stream_id, std::move(response));
             });
         }
     };
     if (stream.too_large) {
-        reply(error_response(
+        respond(error_response(
             error(error_kind::too_large, "request body is larger than the server's limit.", "Send a smaller body.")));
         return;
     }
     try {
-        handler(stream.request, reply);
+        handler(stream.request, respond);
     } catch (error const& failure) {
-        reply(error_response(failure));
+        respond(error_response(failure));
     } catch (std::exception const& failure) {
-        reply(error_response(error(error_kind::internal, failure.what(), "Report this bug.")));
+        respond(error_response(error(error_kind::internal, failure.what(), "Report this bug.")));
     }
 }
 
-void h2_server::impl::answer(std::uint64_t connection_id, std::int32_t stream_id, http_response response)
+void h2_server::impl::send_response(std::uint64_t connection_id, std::int32_t stream_id, http_response response)
 {
     --pending;
     auto found = connections.find(connection_id);
@@ -226,7 +226,7 @@
         connection->fd = fd;
         connection->max_body = options.max_body_bytes;
         auto* raw = connection.get();
-        connection->on_complete = [this, raw](std::int32_t stream_id) { dispatch(*raw, stream_id); };
+        connection->on_request_complete = [this, raw](std::int32_t stream_id) { dispatch(*raw, stream_id); };
         nghttp2_session_server_new(&connection->session, callbacks, connection.get());
         nghttp2_settings_entry setting{NGHTTP2_SETTINGS_MAX_CONCURRENT_STREAMS, 1000};
         nghttp2_submit_settings(connection->session, NGHTTP2_FLAG_NONE, &setting, 1);
@@ -259,15 +259,16 @@
         uint8_t const* data = nullptr;
         ssize_t const count = nghttp2_session_mem_send(connection.session, &data);
         if (count <= 0) break;
-        connection.out.append(reinterpret_cast<char const*>(data), static_cast<size_t>(count));
+        connection.send_buffer.append(reinterpret_cast<char const*>(data), static_cast<size_t>(count));
     }
-    while (!connection.out.empty()) {
-        ssize_t const written = send(connection.fd, connection.out.data(), connection.out.size(), MSG_NOSIGNAL);
+    while (!connection.send_buffer.empty()) {
+        ssize_t const written =
+            send(connection.fd, connection.send_buffer.data(), connection.send_buffer.size(), MSG_NOSIGNAL);
         if (written < 0) {
             if (errno != EAGAIN && errno != EWOULDBLOCK) connection.broken = true;
             return;
         }
-        connection.out.erase(0, static_cast<size_t>(written));
+        connection.send_buffer.erase(0, static_cast<size_t>(written));
     }
     if (!nghttp2_session_want_read(connection.session) && !nghttp2_session_want_write(connection.session)) {
         connection.broken = true;
@@ -279,7 +280,7 @@
     for (auto it = connections.begin(); it != connections.end();) {
         if (it->second->broken) {
             for (auto& [stream_id, stream] : it->second->streams)
-                cancel(stream);
+                mark_cancelled(stream);
             nghttp2_session_del(it->second->session);
             close(it->second->fd);
             it = connections.erase(it);
@@ -289,7 +290,7 @@
     }
 }
 
-void h2_server::impl::go_away()
+void h2_server::impl::send_goaway()
 {
     if (listen_fd >= 0) {
         close(listen_fd);
@@ -316,7 +317,7 @@
         for (auto& [id, connection] : connections) {
             if (connection->silent) continue;
             short events = reading ? POLLIN : 0;
-            if (!connection->out.empty()) events |= POLLOUT;
+            if (!connection->send_buffer.empty()) events |= POLLOUT;
             fds.push_back({connection->fd, events, 0});
             polled.push_back(connection.get());
         }
@@ -383,7 +384,7 @@
 
 std::size_t h2_server::drain(milliseconds limit)
 {
-    post([this] { m_impl->go_away(); });
+    post([this] { m_impl->send_goaway(); });
     auto const until = clock::now() + limit;
     while (m_impl->pending > 0 && clock::now() < until) {
         std::this_thread::sleep_for(milliseconds(10));
--- a/src/transport/http_client.cpp
+++ b/src/transport/http_client.cpp
@@ -16,9 +16,9 @@
 /** Interval between checks of the deadlines, in microseconds. */
 constexpr lws_usec_t deadline_check_us = 5 * LWS_US_PER_MS;
 /** Space for request headers added by the client. */
-constexpr std::size_t header_room = 1024;
+constexpr std::size_t header_buffer_size = 1024;
 /** Size of the buffer for one read of a response body. */
-constexpr std::size_t read_room = 4096;
+constexpr std::size_t read_buffer_size = 4096;
 
 /** One request in flight. */
 struct pending_request {
@@ -140,10 +140,10 @@
         if (call != nullptr) call->result.response.body.append(static_cast<char const*>(in), length);
         return 0;
     case LWS_CALLBACK_RECEIVE_CLIENT_HTTP: {
-        char buffer[LWS_PRE + read_room];
+        char buffer[LWS_PRE + read_buffer_size];
         char* p = buffer + LWS_PRE;
-        int room = static_cast<int>(read_room);
-        return lws_http_client_read(wsi, &p, &room) < 0 ? -1 : 0;
+        int capacity = static_cast<int>(read_buffer_size);
+        return lws_http_client_read(wsi, &p, &capacity) < 0 ? -1 : 0;
     }
     case LWS_CALLBACK_COMPLETED_CLIENT_HTTP: self.finish(id_of(wsi), send_outcome::answered, ""); return -1;
     case LWS_CALLBACK_CLIENT_CONNECTION_ERROR:
@@ -221,11 +221,11 @@
 void http_client::impl::check_deadlines()
 {
     auto const now = clock::now();
-    std::vector<std::uint64_t> late;
+    std::vector<std::uint64_t> expired;
     for (auto const& [id, call] : calls) {
-        if (call.deadline <= now) late.push_back(id);
+        if (call.deadline <= now) expired.push_back(id);
     }
-    for (auto id : late) {
+    for (auto id : expired) {
         auto& call = calls.find(id)->second;
         lws* wsi = call.wsi;
         finish(id, call.sent ? send_outcome::unknown : send_outcome::not_sent, "timeout");
--- a/src/transport/http_server.cpp
+++ b/src/transport/http_server.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 /** Size of the buffer for the status line and headers of a response. */
-constexpr std::size_t header_room = 4096;
+constexpr std::size_t header_buffer_size = 4096;
 
 /** State of one HTTP transaction on a connection. */
 struct transaction {
@@ -31,7 +31,7 @@
 };
 
 /** A response passed from a handler to the service thread. */
-struct queued_reply {
+struct queued_response {
     std::uint64_t id;       ///< Transaction id.
     http_response response; ///< The response.
 };
@@ -40,23 +40,23 @@
 
 /** State of the server; owned by the service thread except for the response queue and the atomics. */
 struct http_server::impl {
-    server_options options;              ///< Address and limits.
-    request_handler handler;             ///< Application handler.
-    lws_context* context = nullptr;      ///< libwebsockets context.
-    std::uint16_t port = 0;              ///< Bound port.
-    std::thread thread;                  ///< Service thread.
-    std::atomic<bool> stopping{false};   ///< Set by the destructor.
-    std::atomic<std::size_t> pending{0}; ///< Requests whose response is not yet written.
-    std::mutex mutex;                    ///< Guards the response queue.
-    std::vector<queued_reply> replies;   ///< Responses from handlers.
-    std::map<std::uint64_t, lws*> live;  ///< Connections by transaction id.
-    std::uint64_t next_id = 1;           ///< Next transaction id.
+    server_options options;                    ///< Address and limits.
+    request_handler handler;                   ///< Application handler.
+    lws_context* context = nullptr;            ///< libwebsockets context.
+    std::uint16_t port = 0;                    ///< Bound port.
+    std::thread thread;                        ///< Service thread.
+    std::atomic<bool> stopping{false};         ///< Set by the destructor.
+    std::atomic<std::size_t> pending{0};       ///< Requests whose response is not yet written.
+    std::mutex mutex;                          ///< Guards the response queue.
+    std::vector<queued_response> responses;    ///< Responses from handlers.
+    std::map<std::uint64_t, lws*> connections; ///< Connections by transaction id.
+    std::uint64_t next_id = 1;                 ///< Next transaction id.
 
-    void begin(lws* wsi, session_slot& slot, char const* uri);
+    void start_transaction(lws* wsi, session_slot& slot, char const* uri);
     void dispatch(transaction& current);
-    void take_replies();
+    void apply_responses();
     int write(lws* wsi, transaction& current);
-    void end(session_slot& slot);
+    void finish_transaction(session_slot& slot);
 };
 
 namespace {
@@ -82,7 +82,7 @@
 {
     auto* slot = static_cast<session_slot*>(user);
     switch (reason) {
-    case LWS_CALLBACK_HTTP: server_of(wsi).begin(wsi, *slot, static_cast<char const*>(in)); return 0;
+    case LWS_CALLBACK_HTTP: server_of(wsi).start_transaction(wsi, *slot, static_cast<char const*>(in)); return 0;
     case LWS_CALLBACK_HTTP_BODY:
         if (slot->current != nullptr && !slot->current->too_large) {
             auto& request = slot->current->request;
@@ -102,12 +102,12 @@
         return server_of(wsi).write(wsi, *slot->current);
     case LWS_CALLBACK_EVENT_WAIT_CANCELLED:
         if (auto* self = static_cast<http_server::impl*>(lws_context_user(lws_get_context(wsi)))) {
-            self->take_replies();
+            self->apply_responses();
         }
         return 0;
     case LWS_CALLBACK_CLOSED_HTTP:
     case LWS_CALLBACK_HTTP_DROP_PROTOCOL:
-        if (slot != nullptr && slot->current != nullptr) server_of(wsi).end(*slot);
+        if (slot != nullptr && slot->current != nullptr) server_of(wsi).finish_transaction(*slot);
         return 0;
     default: return lws_callback_http_dummy(wsi, reason, user, in, length);
     }
@@ -121,13 +121,13 @@
 
 } // namespace
 
-void http_server::impl::begin(lws* wsi, session_slot& slot, char const* uri)
+void http_server::impl::start_transaction(lws* wsi, session_slot& slot, char const* uri)
 {
-    if (slot.current != nullptr) end(slot);
+    if (slot.current != nullptr) finish_transaction(slot);
     slot.current = new transaction();
     auto& current = *slot.current;
     current.id = next_id++;
-    live[current.id] = wsi;
+    connections[current.id] = wsi;
     current.request.path = uri == nullptr ? "/" : uri;
     std::string const arguments = header_text(wsi, WSI_TOKEN_HTTP_URI_ARGS);
     if (!arguments.empty()) current.request.path += "?" + arguments;
@@ -145,37 +145,37 @@
 {
     ++pending;
     std::uint64_t const id = current.id;
-    auto reply = [this, id](http_response response) {
+    auto respond = [this, id](http_response response) {
         {
             std::lock_guard lock(mutex);
-            replies.push_back({id, std::move(response)});
+            responses.push_back({id, std::move(response)});
         }
         lws_cancel_service(context);
     };
     if (current.too_large) {
-        reply(error_response(
+        respond(error_response(
             error(error_kind::too_large, "request body is larger than the server's limit.", "Send a smaller body.")));
         return;
     }
     try {
-        handler(current.request, reply);
+        handler(current.request, respond);
     } catch (error const& failure) {
-        reply(error_response(failure));
+        respond(error_response(failure));
     } catch (std::exception const& failure) {
-        reply(error_response(error(error_kind::internal, failure.what(), "Report this bug.")));
+        respond(error_response(error(error_kind::internal, failure.what(), "Report this bug.")));
     }
 }
 
-void http_server::impl::take_replies()
+void http_server::impl::apply_responses()
 {
-    std::vector<queued_reply> ready;
+    std::vector<queued_response> ready;
     {
         std::lock_guard lock(mutex);
-        ready.swap(replies);
+        ready.swap(responses);
     }
     for (auto& item : ready) {
-        auto found = live.find(item.id);
-        if (found == live.end()) {
+        auto found = connections.find(item.id);
+        if (found == connections.end()) {
             --pending;
             continue;
         }
@@ -194,7 +194,7 @@
 {
     auto const& response = current.response;
     if (!current.headers_written) {
-        std::vector<unsigned char> buffer(LWS_PRE + header_room);
+        std::vector<unsigned char> buffer(LWS_PRE + header_buffer_size);
         unsigned char* start = buffer.data() + LWS_PRE;
         unsigned char* p = start;
         unsigned char* end = buffer.data() + buffer.size() - 1;
@@ -226,15 +226,15 @@
     }
     --pending;
     current.has_response = false;
-    live.erase(current.id);
+    connections.erase(current.id);
     current.id = 0;
     return lws_http_transaction_completed(wsi) != 0 ? -1 : 0;
 }
 
-void http_server::impl::end(session_slot& slot)
+void http_server::impl::finish_transaction(session_slot& slot)
 {
     if (slot.current->id != 0) {
-        live.erase(slot.current->id);
+        connections.erase(slot.current->id);
         if (slot.current->has_response) --pending;
     }
     delete slot.current;
