--- a/src/transport/h2_client.cpp
+++ b/src/transport/h2_client.cpp
@@ -1,4 +1,4 @@
-/** @file h2_client.cpp HTTP/2 (h2c) client: one thread owns a connection per peer, the streams and the timers. */
+/** @file h2_client.cpp HTTP/2 (h2c) client: one thread owns one connection per peer, the streams and the timers. */
 #include "h2_client_impl.hpp"
 
 #include <sys/epoll.h>
@@ -10,14 +10,14 @@
 namespace cornelspring {
 namespace {
 
-/** Socket events taken per wait. */
+/** Most socket events handled per epoll_wait(). */
 constexpr int events_per_wait = 256;
-/** How often connections are checked for silence. */
+/** Interval between checks of the connections' time-outs. */
 constexpr milliseconds check_interval{50};
 
 } // namespace
 
-void h2_client::impl::release(h2_call const& call)
+void h2_client::impl::unregister_call(h2_call const& call)
 {
     deadlines.erase({call.deadline, call.id});
     if (auto* connection = find_connection(call.connection_id)) connection->calls.erase(call.id);
@@ -29,7 +29,7 @@
     if (found == calls.end()) return;
     h2_call call = std::move(found->second);
     calls.erase(found);
-    release(call);
+    unregister_call(call);
     client_result result;
     result.outcome = outcome;
     result.response = std::move(call.response);
@@ -44,25 +44,25 @@
     h2_call call = std::move(found->second);
     calls.erase(found);
     reset_stream(call);
-    release(call);
+    unregister_call(call);
 }
 
 void h2_client::impl::start_call(h2_call call)
 {
     std::uint64_t const id = call.id;
     auto const now = clock::now();
-    call.begun = now;
+    call.started_at = now;
     auto* connection = connection_for(call.peer, now);
     if (connection != nullptr) call.connection_id = connection->id;
     deadlines.insert({call.deadline, id});
-    auto& placed = calls.emplace(id, std::move(call)).first->second;
+    auto& added = calls.emplace(id, std::move(call)).first->second;
     if (connection == nullptr) {
-        finish(id, send_outcome::not_sent, "cannot connect to " + placed.peer.to_string());
+        finish(id, send_outcome::not_sent, "cannot connect to " + added.peer.to_string());
         return;
     }
     if (connection->calls.empty()) connection->busy_since = now;
     connection->calls.insert(id);
-    if (connection->connected) open_stream(*connection, placed);
+    if (connection->connected) open_stream(*connection, added);
 }
 
 void h2_client::impl::expire(time_point now)
@@ -71,12 +71,14 @@
         std::uint64_t const id = deadlines.begin()->second;
         auto& call = calls.find(id)->second;
         auto* connection = find_connection(call.connection_id);
-        // Quiet for the whole call and for a while: new calls go to a new connection; this one is judged by PING.
-        bool const quiet = connection != nullptr && connection->connected && connection->last_read < call.begun &&
-                           now - connection->last_read >= options.suspect_after;
+        // Nothing was received during this call nor within retire_after, so the connection may be dead: new calls go to
+        // a new one, while PING decides whether this one is closed.
+        bool const unresponsive = connection != nullptr && connection->connected &&
+                                  connection->last_read < call.started_at &&
+                                  now - connection->last_read >= options.retire_after;
         reset_stream(call);
         finish(id, call.sent ? send_outcome::unknown : send_outcome::not_sent, "timeout");
-        if (quiet) retire(*connection);
+        if (unresponsive) retire(*connection);
     }
 }
 
@@ -171,7 +173,8 @@
 
 void h2_client::cancel(call_id id)
 {
-    // On the client thread the call may still wait among the timers; a later timer finds it started.
+    // On the client thread, submit() starts the call by a timer that may not have run yet. Timers of equal time run in
+    // the order in which they were added, so this one runs after the start.
     if (std::this_thread::get_id() == m_impl->thread.get_id()) {
         m_impl->timers.emplace(time_point{}, [this, id] { m_impl->cancel_call(id.value()); });
     } else {
@@ -200,8 +203,8 @@
 void h2_client::drop_connections(endpoint const& peer)
 {
     post([this, peer] {
-        auto found = m_impl->current.find(peer);
-        if (found == m_impl->current.end()) return;
+        auto found = m_impl->connection_by_peer.find(peer);
+        if (found == m_impl->connection_by_peer.end()) return;
         if (auto* connection = m_impl->find_connection(found->second)) m_impl->fail_connection(*connection, "dropped");
     });
 }
--- a/src/transport/h2_client_connections.cpp
+++ b/src/transport/h2_client_connections.cpp
@@ -1,4 +1,4 @@
-/** @file h2_client_connections.cpp Connections of the HTTP/2 client: one for each peer, found silent by PING. */
+/** @file h2_client_connections.cpp Connections of the HTTP/2 client: one per peer, checked by PING. */
 #include "h2_client_impl.hpp"
 
 #include <sys/epoll.h>
@@ -12,7 +12,7 @@
 
 /** Bytes read per read() call. */
 constexpr std::size_t read_chunk = 16384;
-/** Streams a server may open towards us: none are used, the value only fills the SETTINGS frame. */
+/** Most streams that a server may open to the client. Servers open none; the value only fills the SETTINGS frame. */
 constexpr std::uint32_t settings_max_streams = 1000;
 
 } // namespace
@@ -25,8 +25,8 @@
 
 h2_connection* h2_client::impl::connection_for(endpoint const& peer, time_point now)
 {
-    auto known = current.find(peer);
-    if (known != current.end()) return find_connection(known->second);
+    auto known = connection_by_peer.find(peer);
+    if (known != connection_by_peer.end()) return find_connection(known->second);
     int const fd = detail::connect_tcp(peer);
     if (fd < 0) return nullptr;
     ++opened;
@@ -42,7 +42,7 @@
     event.events = EPOLLIN | EPOLLOUT;
     event.data.u64 = raw->id;
     epoll_ctl(epoll_fd, EPOLL_CTL_ADD, fd, &event);
-    current[peer] = raw->id;
+    connection_by_peer[peer] = raw->id;
     connections.emplace(raw->id, std::move(connection));
     return raw;
 }
@@ -72,8 +72,8 @@
 void h2_client::impl::retire(h2_connection& connection)
 {
     connection.retiring = true;
-    auto known = current.find(connection.peer);
-    if (known != current.end() && known->second == connection.id) current.erase(known);
+    auto known = connection_by_peer.find(connection.peer);
+    if (known != connection_by_peer.end() && known->second == connection.id) connection_by_peer.erase(known);
 }
 
 void h2_client::impl::fail_connection(h2_connection& connection, std::string const& why)
@@ -81,7 +81,7 @@
     if (connection.broken) return;
     connection.broken = true;
     has_broken = true;
-    retire(connection); // first, so that a retry made by a callback below opens a new connection
+    retire(connection); // first, so that a retry from a callback below opens a new connection
     auto const open = connection.calls;
     for (auto id : open) {
         auto found = calls.find(id);
@@ -128,12 +128,12 @@
         uint8_t const* data = nullptr;
         ssize_t const count = nghttp2_session_mem_send(connection.session, &data);
         if (count <= 0) break;
-        connection.out.append(reinterpret_cast<char const*>(data), static_cast<size_t>(count));
+        connection.send_buffer.append(reinterpret_cast<char const*>(data), static_cast<size_t>(count));
     }
     std::size_t written_total = 0;
-    while (written_total < connection.out.size()) {
-        ssize_t const written = send(connection.fd, connection.out.data() + written_total,
-                                     connection.out.size() - written_total, MSG_NOSIGNAL);
+    while (written_total < connection.send_buffer.size()) {
+        ssize_t const written = send(connection.fd, connection.send_buffer.data() + written_total,
+                                     connection.send_buffer.size() - written_total, MSG_NOSIGNAL);
         if (written < 0) {
             if (errno == EAGAIN || errno == EWOULDBLOCK) break;
             fail_connection(connection, "write failed");
@@ -142,16 +142,16 @@
         written_total += static_cast<std::size_t>(written);
     }
     sent_bytes += written_total;
-    connection.out.erase(0, written_total);
-    poll_write(connection, !connection.out.empty());
+    connection.send_buffer.erase(0, written_total);
+    poll_write(connection, !connection.send_buffer.empty());
     if (!nghttp2_session_want_read(connection.session) && !nghttp2_session_want_write(connection.session)) {
-        fail_connection(connection, "peer ended the session");
+        fail_connection(connection, "HTTP/2 session closed by peer");
     }
 }
 
 void h2_client::impl::flush_dirty()
 {
-    // A flush may end calls whose callbacks start new ones, so more connections may become dirty meanwhile.
+    // A flush may finish calls whose callbacks start new ones, which can mark more connections dirty.
     while (!dirty.empty()) {
         auto const ids = std::move(dirty);
         dirty.clear();
@@ -176,12 +176,12 @@
             if (connection->retiring) fail_connection(*connection, "retired");
             continue;
         }
-        auto const quiet_since = std::max(connection->last_read, connection->busy_since);
+        auto const idle_since = std::max(connection->last_read, connection->busy_since);
         if (connection->ping_open) {
             if (now - connection->ping_sent < options.ping_timeout) continue;
             ++silent;
-            fail_connection(*connection, "connection went silent");
-        } else if (now - quiet_since >= options.ping_after) {
+            fail_connection(*connection, "no byte received after PING");
+        } else if (now - idle_since >= options.ping_after) {
             nghttp2_submit_ping(connection->session, NGHTTP2_FLAG_NONE, nullptr);
             connection->ping_open = true;
             connection->ping_sent = now;
