--- a/tests/deployment.hpp
+++ b/tests/deployment.hpp
@@ -13,15 +13,15 @@
 namespace cornelspring::testing {
 
 /** Longest bounded wait for an entry node to reach a configuration revision. */
-inline constexpr auto converge_wait = std::chrono::seconds(10);
+inline constexpr auto convergence_timeout = std::chrono::seconds(10);
 /** Timeout of one HTTP call from the test. */
 inline constexpr milliseconds call_timeout{5000};
 
 /** A small deployment: one store, three back ends holding a 3-shard service twice over, one entry node. */
 struct deployment {
-    process_group group;
-    http_client client; ///< Caller-side client towards the entry node.
-    h2_client peers;    ///< Client towards the stand-ins' fault endpoints.
+    process_group processes;
+    http_client client;        ///< Caller-side client towards the entry node.
+    h2_client stand_in_client; ///< Client towards the stand-ins' fault endpoints.
     std::uint16_t store = 0;
     std::uint16_t entry = 0;
     std::vector<std::uint16_t> backends;
@@ -29,15 +29,16 @@
     /** Starts everything; @param slots requests each back end runs at once. */
     explicit deployment(int slots = 2)
     {
-        store = group.start("store", "cornel-store", {"--set", "listen.port=0"});
+        store = processes.start("store", "cornel-store", {"--set", "listen.port=0"});
         std::vector<std::string> const holdings = {"[0,1]", "[1,2]", "[2,0]"};
         for (std::size_t i = 0; i < holdings.size(); ++i) {
-            backends.push_back(group.start("b" + std::to_string(i), "cornel-backend",
-                                           {"--set", "name=\"b" + std::to_string(i) + "\"", "--set", "service=\"svc\"",
-                                            "--set", "shard_count=3", "--set", "shards=" + holdings[i], "--set",
-                                            "corpus.max_documents=3000", "--set", "slots=" + std::to_string(slots)}));
+            backends.push_back(
+                processes.start("b" + std::to_string(i), "cornel-backend",
+                                {"--set", "name=\"b" + std::to_string(i) + "\"", "--set", "service=\"svc\"", "--set",
+                                 "shard_count=3", "--set", "shards=" + holdings[i], "--set",
+                                 "corpus.max_documents=3000", "--set", "slots=" + std::to_string(slots)}));
         }
-        entry = group.start(
+        entry = processes.start(
             "entry", "cornel-entry",
             {"--set", "id=\"e1\"", "--set", "listen.port=0", "--set", "store.address=\"" + loopback(store) + "\""});
     }
@@ -56,19 +57,19 @@
     }
 
     /** Runs cornel-ctl against the store. @return exit status; @p output gets stdout. */
-    int ctl(std::vector<std::string> args, std::string& output)
+    int run_ctl(std::vector<std::string> args, std::string& output)
     {
         args.insert(args.begin(), {"--set", "store.address=\"" + loopback(store) + "\""});
-        return group.run("cornel-ctl", args, output);
+        return processes.run("cornel-ctl", args, output);
     }
 
     /** Writes @p text to a file of the run and applies it. @return ctl's exit status. */
-    int apply(std::string const& text)
+    int apply_resources(std::string const& text)
     {
-        std::string const file = group.path("resources.toml");
+        std::string const file = processes.path("resources.toml");
         std::ofstream(file) << text;
         std::string output;
-        return ctl({"apply", file}, output);
+        return run_ctl({"apply", file}, output);
     }
 
     /** @return the result of a request to the entry node. */
@@ -91,11 +92,11 @@
     }
 
     /** Waits (bounded) until a query of @p service is answered whole. */
-    void wait_until_whole(std::string const& service = "svc")
+    void wait_for_full_coverage(std::string const& service = "svc")
     {
-        auto const until = std::chrono::steady_clock::now() + converge_wait;
+        auto const deadline = std::chrono::steady_clock::now() + convergence_timeout;
         std::string const body = R"({"service":")" + service + R"(","query":"sea"})";
-        while (std::chrono::steady_clock::now() < until) {
+        while (std::chrono::steady_clock::now() < deadline) {
             auto const result = send("POST", paths::query, body);
             if (result.response.status == 200 && nlohmann::json::parse(result.response.body)["coverage"] == 1.0) {
                 return;
@@ -106,20 +107,20 @@
     }
 
     /** Sets faults of the stand-in listening on @p port. @return the HTTP status of the answer. */
-    int fault(std::uint16_t port, nlohmann::json const& body)
+    int set_fault(std::uint16_t port, nlohmann::json const& body)
     {
         http_request request;
         request.method = "POST";
         request.path = paths::fault;
         request.body = body.dump();
-        return peers.call({"127.0.0.1", port}, std::move(request), call_timeout).response.status;
+        return stand_in_client.call({"127.0.0.1", port}, std::move(request), call_timeout).response.status;
     }
 
     /** Waits (bounded) until the entry node's /healthz says it is draining. @return whether it did. */
     bool wait_until_draining()
     {
-        auto const until = std::chrono::steady_clock::now() + converge_wait;
-        while (std::chrono::steady_clock::now() < until) {
+        auto const deadline = std::chrono::steady_clock::now() + convergence_timeout;
+        while (std::chrono::steady_clock::now() < deadline) {
             if (send("GET", paths::health, "").response.status == 503) return true;
             std::this_thread::sleep_for(std::chrono::milliseconds(10));
         }
--- a/tests/gateway_fixture.cpp
+++ b/tests/gateway_fixture.cpp
@@ -13,20 +13,20 @@
 using nlohmann::json;
 
 /** Longest wait for bytes. */
-constexpr int receive_limit_s = 5;
+constexpr int receive_timeout_s = 5;
 
 } // namespace
 
-raw_connection::raw_connection(endpoint const& peer, std::string const& from) : m_fd(socket(AF_INET, SOCK_STREAM, 0))
+raw_connection::raw_connection(endpoint const& peer, std::string const& source) : m_fd(socket(AF_INET, SOCK_STREAM, 0))
 {
     sockaddr_in own{};
     own.sin_family = AF_INET;
-    inet_pton(AF_INET, from.c_str(), &own.sin_addr);
+    inet_pton(AF_INET, source.c_str(), &own.sin_addr);
     sockaddr_in to{};
     to.sin_family = AF_INET;
     to.sin_port = htons(peer.port);
     inet_pton(AF_INET, peer.host.c_str(), &to.sin_addr);
-    timeval limit{receive_limit_s, 0};
+    timeval limit{receive_timeout_s, 0};
     setsockopt(m_fd, SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof limit);
     if (bind(m_fd, reinterpret_cast<sockaddr*>(&own), sizeof own) != 0 ||
         connect(m_fd, reinterpret_cast<sockaddr*>(&to), sizeof to) != 0) {
@@ -51,20 +51,20 @@
     message_reader reader(message_reader::kind::response);
     char buffer[65536];
     while (true) {
-        m_extra.erase(0, reader.feed(m_extra));
+        m_unparsed.erase(0, reader.feed(m_unparsed));
         if (reader.state() == parse_state::complete) return reader.response();
         if (reader.state() != parse_state::incomplete || m_fd < 0) return std::nullopt;
         auto const got = recv(m_fd, buffer, sizeof buffer, 0);
         if (got <= 0) return std::nullopt;
-        m_extra.append(buffer, static_cast<std::size_t>(got));
+        m_unparsed.append(buffer, static_cast<std::size_t>(got));
     }
 }
 
-bool within_ten_seconds(std::function<bool()> const& holds)
+bool within_ten_seconds(std::function<bool()> const& condition)
 {
-    auto const until = clock::now() + std::chrono::seconds(10);
-    while (clock::now() < until) {
-        if (holds()) return true;
+    auto const deadline = clock::now() + std::chrono::seconds(10);
+    while (clock::now() < deadline) {
+        if (condition()) return true;
         std::this_thread::sleep_for(milliseconds(20));
     }
     return false;
@@ -72,11 +72,11 @@
 
 gateway_fleet::gateway_fleet()
 {
-    m_store = processes.start("store", "cornel-stand-in", {"store"});
-    m_backends = processes.start(
+    m_store_port = processes.start("store", "cornel-stand-in", {"store"});
+    m_backends_port = processes.start(
         "backends", "cornel-stand-in",
         {"backends", "--set", R"(services=["g0","g1","g2","g3","s"])", "--set", R"(domains=["d1","d2"])"});
-    auto const all = entries();
+    auto const all = registrations();
     for (auto const& [id, entry] : all.items())
         register_backend(id, entry);
     configure(1);
@@ -95,27 +95,27 @@
     return response && !response->body.empty() ? json::parse(response->body) : json();
 }
 
-json gateway_fleet::store(std::string const& path, json const& body)
+json gateway_fleet::call_store(std::string const& path, json const& body)
 {
-    return post({"127.0.0.1", m_store}, "/stand-in/" + path, body);
+    return post({"127.0.0.1", m_store_port}, "/stand-in/" + path, body);
 }
 
-void gateway_fleet::behave(json const& what) { post({"127.0.0.1", m_backends}, "/behave", what); }
-json gateway_fleet::journal() { return post({"127.0.0.1", m_backends}, "/journal", json::object()); }
-json gateway_fleet::entries() { return post({"127.0.0.1", m_backends}, "/entries", json::object()); }
+void gateway_fleet::set_backend_behavior(json const& what) { post({"127.0.0.1", m_backends_port}, "/behave", what); }
+json gateway_fleet::journal() { return post({"127.0.0.1", m_backends_port}, "/journal", json::object()); }
+json gateway_fleet::registrations() { return post({"127.0.0.1", m_backends_port}, "/entries", json::object()); }
 
 void gateway_fleet::register_backend(std::string const& id, json const& entry)
 {
-    store("put", {{"key", "servers/" + id}, {"value", entry}});
+    call_store("put", {{"key", "servers/" + id}, {"value", entry}});
 }
 
 void gateway_fleet::configure(int version, std::vector<std::string> const& shards,
-                              std::vector<std::string> const& homes)
+                              std::vector<std::string> const& home_regions)
 {
-    auto const route = [&homes](char const* prefix, char const* kind) {
+    auto const route = [&home_regions](char const* prefix, char const* kind) {
         return json{{"name", prefix},     {"hostname", "h.example"}, {"prefix", prefix},
                     {"route_type", kind}, {"timeout_ms", 2000},      {"goal_ms", 400},
-                    {"priority", 1},      {"attempts", 2},           {"home_regions", homes}};
+                    {"priority", 1},      {"attempts", 2},           {"home_regions", home_regions}};
     };
     auto gather = route("/q/", "idempotent");
     gather["gather"] = shards;
@@ -138,7 +138,7 @@
                         {"max_body_bytes", 10000},
                         {"header_timeout_ms", 700},
                         {"idle_timeout_ms", 3000}}}};
-    store("put", {{"key", "op/config"}, {"value", config}});
+    call_store("put", {{"key", "op/config"}, {"value", config}});
 }
 
 endpoint gateway_fleet::address(int number, char const* what)
@@ -164,7 +164,7 @@
                         {"bind_addrs", addresses},
                         {"seeds", {address(1, "control_plane").to_string(), address(2, "control_plane").to_string()}},
                         {"limits", {{"cpu_share", 1.0}, {"cores", 1}}},
-                        {"platform", {{"address", "127.0.0.1:" + std::to_string(m_store)}}},
+                        {"platform", {{"address", "127.0.0.1:" + std::to_string(m_store_port)}}},
                         {"bounds",
                          {{"retry_ratio", 0.2},
                           {"retry_slack", 200},
@@ -181,33 +181,33 @@
 
 void gateway_fleet::await_ready(int number, int status)
 {
-    bool const came =
+    bool const is_ready =
         within_ten_seconds([&] { return get(address(number, "ready"), "/cornelspring/ready").status == status; });
-    if (!came) throw error(error_kind::unavailable, "gateway is not ready in time.", "Read its log.");
+    if (!is_ready) throw error(error_kind::unavailable, "gateway is not ready in time.", "Read its log.");
 }
 
 http_response gateway_fleet::get(endpoint const& to, std::string const& path)
 {
     raw_connection connection(to);
     connection.send("GET " + path + " HTTP/1.1\r\nHost: h.example\r\n\r\n");
-    http_response none;
-    none.status = 0;
-    return connection.receive().value_or(none);
+    http_response no_response;
+    no_response.status = 0;
+    return connection.receive().value_or(no_response);
 }
 
-http_response gateway_fleet::ask(int number, std::string const& path, std::string const& id, std::string const& method,
-                                 std::string const& body, std::string const& from)
+http_response gateway_fleet::send_request(int number, std::string const& path, std::string const& id,
+                                          std::string const& method, std::string const& body, std::string const& source)
 {
-    raw_connection connection(address(number, "frontend"), from);
+    raw_connection connection(address(number, "frontend"), source);
     http_request request;
     request.method = method;
     request.path = path;
     request.headers = {{"Host", "h.example"}, {"Request-Id", id}, {"Deadline", "1500"}};
     request.body = body;
     connection.send(serialize(request));
-    http_response none;
-    none.status = 0;
-    return connection.receive().value_or(none);
+    http_response no_response;
+    no_response.status = 0;
+    return connection.receive().value_or(no_response);
 }
 
 } // namespace cornelspring::testing
--- a/tests/gateway_fixture.hpp
+++ b/tests/gateway_fixture.hpp
@@ -11,7 +11,7 @@
 class raw_connection {
 public:
     /** Connects; reads and writes give up after five seconds. @param peer address. @param from own numeric address. */
-    explicit raw_connection(endpoint const& peer, std::string const& from = "127.0.0.1");
+    explicit raw_connection(endpoint const& peer, std::string const& source = "127.0.0.1");
     ~raw_connection();
     raw_connection(raw_connection const&) = delete;
     raw_connection& operator=(raw_connection const&) = delete;
@@ -21,8 +21,8 @@
     std::optional<http_response> receive();
 
 private:
-    int m_fd;            ///< Socket.
-    std::string m_extra; ///< Bytes after the last response.
+    int m_fd;               ///< Socket.
+    std::string m_unparsed; ///< Bytes after the last response.
 };
 
 /** One fleet. Services: g0 to g3 (shards) and s; two backend servers each, in failure domains d1 and d2. */
@@ -37,21 +37,22 @@
     static endpoint address(int number, char const* what);
     /** Sends a request over a new connection from the address @p from. @return the response, or status 0 when none
      *  came. */
-    http_response ask(int number, std::string const& path, std::string const& id, std::string const& method = "GET",
-                      std::string const& body = "", std::string const& from = "127.0.0.1");
+    http_response send_request(int number, std::string const& path, std::string const& id,
+                               std::string const& method = "GET", std::string const& body = "",
+                               std::string const& source = "127.0.0.1");
     /** @return the answer of @p path at @p to. */
     static http_response get(endpoint const& to, std::string const& path);
     /** Puts configuration @p version into the store, gathering over @p shards, with @p homes for all routes. */
     void configure(int version, std::vector<std::string> const& shards = {"g0", "g1", "g2", "g3"},
-                   std::vector<std::string> const& homes = {});
+                   std::vector<std::string> const& home_regions = {});
     /** Calls the store's own API for tests. */
-    nlohmann::json store(std::string const& path, nlohmann::json const& body = nlohmann::json::object());
+    nlohmann::json call_store(std::string const& path, nlohmann::json const& body = nlohmann::json::object());
     /** Sets what backend servers do. */
-    void behave(nlohmann::json const& what);
+    void set_backend_behavior(nlohmann::json const& what);
     /** @return all that reached backend servers. */
     nlohmann::json journal();
     /** @return the entries of all backend servers. */
-    nlohmann::json entries();
+    nlohmann::json registrations();
     /** Writes an entry of a backend server. */
     void register_backend(std::string const& id, nlohmann::json const& entry);
 
@@ -60,11 +61,11 @@
 private:
     /** Posts JSON. */
     static nlohmann::json post(endpoint const& to, std::string const& path, nlohmann::json const& body);
-    std::uint16_t m_store = 0;    ///< Store's port.
-    std::uint16_t m_backends = 0; ///< Control port of the backend servers.
+    std::uint16_t m_store_port = 0;    ///< Store's port.
+    std::uint16_t m_backends_port = 0; ///< Control port of the backend servers.
 };
 
 /** @return whether @p holds came true within ten seconds. */
-bool within_ten_seconds(std::function<bool()> const& holds);
+bool within_ten_seconds(std::function<bool()> const& condition);
 
 } // namespace cornelspring::testing
--- a/tests/process_fixture.cpp
+++ b/tests/process_fixture.cpp
@@ -18,7 +18,7 @@
 namespace {
 
 /** Longest wait for a child to write its ready file. */
-constexpr auto ready_wait = std::chrono::seconds(10);
+constexpr auto ready_timeout = std::chrono::seconds(10);
 
 /** @return argv for posix_spawn. */
 std::vector<char*> make_argv(std::string const& program, std::vector<std::string> const& args)
@@ -77,15 +77,15 @@
 std::uint16_t process_group::start(std::string const& name, std::string const& binary,
                                    std::vector<std::string> const& args)
 {
-    std::string const ready = path(name + ".port");
-    std::vector<std::string> all = args;
-    all.push_back("--set");
-    all.push_back("ready_file=\"" + ready + "\"");
-    spawn(name, binary, all);
-    auto const until = std::chrono::steady_clock::now() + ready_wait;
-    while (std::chrono::steady_clock::now() < until) {
+    std::string const ready_file = path(name + ".port");
+    std::vector<std::string> all_args = args;
+    all_args.push_back("--set");
+    all_args.push_back("ready_file=\"" + ready_file + "\"");
+    spawn(name, binary, all_args);
+    auto const deadline = std::chrono::steady_clock::now() + ready_timeout;
+    while (std::chrono::steady_clock::now() < deadline) {
         try {
-            auto const text = read_file(ready);
+            auto const text = read_file(ready_file);
             if (!text.empty()) return static_cast<std::uint16_t>(std::stoi(text));
         } catch (error const&) {
         }
--- a/tests/test_crashing_requests.cpp
+++ b/tests/test_crashing_requests.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 /** A query that crashes every backend server that runs it. */
-constexpr char const* deadly_path = "/q/deadly";
+constexpr char const* crashing_path = "/q/deadly";
 
 /** @return the log lines of gateway @p number about request @p id. */
 std::vector<json> log_lines(gateway_fleet const& fleet, int number, std::string const& id)
@@ -31,17 +31,17 @@
 }
 
 /** @return the backend servers that the deadly query reached, by the caller's request id. */
-std::map<std::string, int> arrivals(gateway_fleet& fleet)
+std::map<std::string, int> arrivals_by_id(gateway_fleet& fleet)
 {
     std::map<std::string, int> count;
     for (auto const& entry : fleet.journal()) {
-        if (entry.at("line") == std::string("GET ") + deadly_path) ++count[entry.at("id").get<std::string>()];
+        if (entry.at("line") == std::string("GET ") + crashing_path) ++count[entry.at("id").get<std::string>()];
     }
     return count;
 }
 
 /** @return how many ids in @p count begin with @p prefix. */
-int requests_named(std::map<std::string, int> const& count, std::string const& prefix)
+int ids_with_prefix(std::map<std::string, int> const& count, std::string const& prefix)
 {
     return static_cast<int>(
         std::count_if(count.begin(), count.end(), [&](auto const& each) { return each.first.starts_with(prefix); }));
@@ -53,10 +53,10 @@
 {
     gateway_fleet fleet;
     fleet.start_gateway(1);
-    fleet.behave({{"crash_path", deadly_path}, {"down_ms", 300}});
-    CHECK(fleet.ask(1, deadly_path, "first").status >= 500);
+    fleet.set_backend_behavior({{"crash_path", crashing_path}, {"down_ms", 300}});
+    CHECK(fleet.send_request(1, crashing_path, "first").status >= 500);
     std::this_thread::sleep_for(milliseconds(700));
-    CHECK(fleet.ask(1, deadly_path, "second").status >= 500);
+    CHECK(fleet.send_request(1, crashing_path, "second").status >= 500);
     std::vector<json> lines;
     REQUIRE(within_ten_seconds([&] { return !(lines = log_lines(fleet, 1, "second")).empty(); }));
     auto const first = log_lines(fleet, 1, "first").at(0);
@@ -82,11 +82,11 @@
     gateway_fleet fleet;
     for (int const number : {1, 2, 3})
         fleet.start_gateway(number);
-    fleet.behave({{"crash_path", deadly_path}, {"down_ms", 300}});
-    auto const servers_back = [] { std::this_thread::sleep_for(milliseconds(600)); };
+    fleet.set_backend_behavior({{"crash_path", crashing_path}, {"down_ms", 300}});
+    auto const wait_for_server_restarts = [] { std::this_thread::sleep_for(milliseconds(600)); };
 
-    CHECK(fleet.ask(1, deadly_path, "first").status == 502);
-    servers_back();
+    CHECK(fleet.send_request(1, crashing_path, "first").status == 502);
+    wait_for_server_restarts();
     // At most three repetitions may reach a server, whichever gateways they come to.
     for (int round = 0; round < 3; ++round) {
         for (int const number : {1, 2, 3}) {
@@ -94,27 +94,27 @@
             // The caller may be behind another address each time; servers see only what the request says.
             auto const from = "127.0.0." + std::to_string(10 + repetition);
             auto const id = "again-" + std::to_string(repetition);
-            CHECK(fleet.ask(number, deadly_path, id, "GET", "", from).status >= 500);
-            servers_back();
+            CHECK(fleet.send_request(number, crashing_path, id, "GET", "", from).status >= 500);
+            wait_for_server_restarts();
         }
     }
-    CHECK(requests_named(arrivals(fleet), "again-") <= 3);
+    CHECK(ids_with_prefix(arrivals_by_id(fleet), "again-") <= 3);
 
     // A gateway that starts now has seen nothing of it itself.
     fleet.start_gateway(4);
-    auto const refused = fleet.ask(4, deadly_path, "late");
-    CHECK(refused.status == 503); // Truly not run.
-    CHECK(refused.header("retry-after") != "");
-    CHECK(requests_named(arrivals(fleet), "late") == 0);
-    CHECK(fleet.ask(4, "/q/harmless", "other").status == 200);
+    auto const rejected = fleet.send_request(4, crashing_path, "late");
+    CHECK(rejected.status == 503); // Truly not run.
+    CHECK(rejected.header("retry-after") != "");
+    CHECK(ids_with_prefix(arrivals_by_id(fleet), "late") == 0);
+    CHECK(fleet.send_request(4, "/q/harmless", "other").status == 200);
 }
 
 TEST_CASE("a query that crashes backend servers is not sent on to the other servers of its shards")
 {
     gateway_fleet fleet;
     fleet.start_gateway(1);
-    fleet.behave({{"crash_path", deadly_path}, {"work_ms", 30}, {"down_ms", 300}});
-    CHECK(fleet.ask(1, deadly_path, "first").status == 502);
+    fleet.set_backend_behavior({{"crash_path", crashing_path}, {"work_ms", 30}, {"down_ms", 300}});
+    CHECK(fleet.send_request(1, crashing_path, "first").status == 502);
     // Four shards with two servers each: the first attempts, and one more to make sure.
-    CHECK(arrivals(fleet)["first"] <= 5);
+    CHECK(arrivals_by_id(fleet)["first"] <= 5);
 }
--- a/tests/test_end_to_end.cpp
+++ b/tests/test_end_to_end.cpp
@@ -10,35 +10,35 @@
 #include <doctest/doctest.h>
 
 using namespace cornelspring;
-using cornelspring::testing::converge_wait;
+using cornelspring::testing::convergence_timeout;
 using cornelspring::testing::deployment;
 using cornelspring::testing::loopback;
 
 TEST_CASE("a query is answered from every shard at one index version")
 {
     deployment d;
-    REQUIRE(d.apply(d.resources(1)) == 0);
-    d.wait_until_whole();
+    REQUIRE(d.apply_resources(d.resources(1)) == 0);
+    d.wait_for_full_coverage();
     auto const result =
         d.send("POST", paths::query, R"({"service":"svc","query":"love and war","k":5,"request_id":"r-1"})");
     REQUIRE(result.outcome == send_outcome::answered);
     REQUIRE(result.response.status == 200);
-    auto const answer = parse_message<query_answer>(result.response.body, "answer");
-    CHECK(answer.request_id == "r-1");
-    CHECK(answer.index_version == 1);
-    CHECK(answer.shards_total == 3);
-    CHECK(answer.shards_answered == 3);
-    CHECK(answer.coverage == doctest::Approx(1.0));
-    CHECK(answer.hits.size() == 5);
-    for (std::size_t i = 1; i < answer.hits.size(); ++i)
-        CHECK(answer.hits[i - 1].score >= answer.hits[i].score);
+    auto const response = parse_message<query_answer>(result.response.body, "answer");
+    CHECK(response.request_id == "r-1");
+    CHECK(response.index_version == 1);
+    CHECK(response.shards_total == 3);
+    CHECK(response.shards_answered == 3);
+    CHECK(response.coverage == doctest::Approx(1.0));
+    CHECK(response.hits.size() == 5);
+    for (std::size_t i = 1; i < response.hits.size(); ++i)
+        CHECK(response.hits[i - 1].score >= response.hits[i].score);
 }
 
 TEST_CASE("bad input gets a typed error and changes no state")
 {
     deployment d;
-    REQUIRE(d.apply(d.resources(1)) == 0);
-    d.wait_until_whole();
+    REQUIRE(d.apply_resources(d.resources(1)) == 0);
+    d.wait_for_full_coverage();
     auto const before = d.entry_revision();
     struct fault_case {
         char const* body;
@@ -56,43 +56,43 @@
         {R"({"service":"svc","query":"sea","colour":"red"})", 400, "bad_request"},
         {oversized.c_str(), 413, "too_large"},
     };
-    for (auto const& item : cases) {
-        CAPTURE(std::string(item.body).substr(0, 60));
-        auto const result = d.send("POST", paths::query, item.body);
+    for (auto const& each : cases) {
+        CAPTURE(std::string(each.body).substr(0, 60));
+        auto const result = d.send("POST", paths::query, each.body);
         REQUIRE(result.outcome == send_outcome::answered);
-        CHECK(result.response.status == item.status);
+        CHECK(result.response.status == each.status);
         auto const body = nlohmann::json::parse(result.response.body, nullptr, false);
         REQUIRE(body.is_object());
-        CHECK(body.value("error", "") == item.kind);
+        CHECK(body.value("error", "") == each.kind);
         CHECK_FALSE(body.value("remedy", "").empty());
     }
     std::string output;
-    std::ofstream(d.group.path("bad.toml")) << "[[service]]\nname = \"x\"\nshards = 0\n";
-    CHECK(d.ctl({"apply", d.group.path("bad.toml")}, output) != 0);
+    std::ofstream(d.processes.path("bad.toml")) << "[[service]]\nname = \"x\"\nshards = 0\n";
+    CHECK(d.run_ctl({"apply", d.processes.path("bad.toml")}, output) != 0);
     CHECK(d.entry_revision() == before);
 }
 
 TEST_CASE("cornel-ctl refuses a write made against a stale revision")
 {
     deployment d;
-    REQUIRE(d.apply(d.resources(1)) == 0);
+    REQUIRE(d.apply_resources(d.resources(1)) == 0);
     std::string listing;
-    REQUIRE(d.ctl({"get", "service", "svc"}, listing) == 0);
+    REQUIRE(d.run_ctl({"get", "service", "svc"}, listing) == 0);
     auto const stale = nlohmann::json::parse(listing)["revision"].get<std::int64_t>();
-    REQUIRE(d.apply(d.resources(1)) == 0); // another operator writes in between
+    REQUIRE(d.apply_resources(d.resources(1)) == 0); // another operator writes in between
     std::string const racing = "[[service]]\nname = \"svc\"\nshards = 3\nrevision = " + std::to_string(stale) + "\n";
-    CHECK(d.apply(racing) == 3); // conflict
+    CHECK(d.apply_resources(racing) == 3); // conflict
     std::string after;
-    REQUIRE(d.ctl({"get", "service", "svc"}, after) == 0);
+    REQUIRE(d.run_ctl({"get", "service", "svc"}, after) == 0);
     CHECK(nlohmann::json::parse(after)["spec"]["customer"] == "Rechtshilfe");
 }
 
 TEST_CASE("a killed replica's shards are retried on the other replica")
 {
     deployment d;
-    REQUIRE(d.apply(d.resources(1)) == 0);
-    d.wait_until_whole();
-    d.group.stop("b0", SIGKILL);
+    REQUIRE(d.apply_resources(d.resources(1)) == 0);
+    d.wait_for_full_coverage();
+    d.processes.stop("b0", SIGKILL);
     for (int i = 0; i < 5; ++i) {
         auto const result = d.send("POST", paths::query, R"({"service":"svc","query":"sea"})");
         REQUIRE(result.response.status == 200);
@@ -103,7 +103,7 @@
 TEST_CASE("the entry list names the entry node and how long to keep it")
 {
     deployment d;
-    auto const until = std::chrono::steady_clock::now() + converge_wait;
+    auto const until = std::chrono::steady_clock::now() + convergence_timeout;
     entry_list list;
     while (std::chrono::steady_clock::now() < until && list.addresses.empty()) {
         auto const result = d.send("GET", paths::entries, "");
--- a/tests/test_failures.cpp
+++ b/tests/test_failures.cpp
@@ -10,16 +10,16 @@
 namespace {
 
 /** Time a straggling back end holds each search: long enough that a stop happens while searches run. */
-constexpr std::int64_t straggle_ms = 3000;
+constexpr std::int64_t search_delay_ms = 3000;
 /** Deadline of the queries in flight during a stop. */
 constexpr std::int64_t long_deadline_ms = 20000;
 /** Queries in flight during a stop. */
 constexpr int in_flight = 4;
 /** Slots of each back end in the stop tests: enough that no search is shed while queries are in flight. */
-constexpr int roomy_slots = 16;
+constexpr int ample_slots = 16;
 
 /** Sends @p count queries without waiting; @return futures of their results. */
-std::vector<std::future<client_result>> send_many(deployment& d, int count)
+std::vector<std::future<client_result>> send_queries(deployment& d, int count)
 {
     std::vector<std::future<client_result>> results;
     for (int i = 0; i < count; ++i) {
@@ -40,16 +40,16 @@
 }
 
 /** Checks that every result is a whole answer to its own request. */
-void check_whole(std::vector<std::future<client_result>>& results)
+void check_complete(std::vector<std::future<client_result>>& results)
 {
     for (std::size_t i = 0; i < results.size(); ++i) {
         auto const result = results[i].get();
         CAPTURE(i);
         REQUIRE(result.outcome == send_outcome::answered);
         REQUIRE(result.response.status == 200);
-        auto const answer = parse_message<query_answer>(result.response.body, "answer");
-        CHECK(answer.request_id == "stop-" + std::to_string(i));
-        CHECK(answer.coverage == doctest::Approx(1.0));
+        auto const response = parse_message<query_answer>(result.response.body, "answer");
+        CHECK(response.request_id == "stop-" + std::to_string(i));
+        CHECK(response.coverage == doctest::Approx(1.0));
     }
 }
 
@@ -57,14 +57,14 @@
 
 TEST_CASE("SIGTERM on an entry node finishes the queries in flight and sends new callers elsewhere")
 {
-    deployment d(roomy_slots);
-    REQUIRE(d.apply(d.resources(1)) == 0);
-    d.wait_until_whole();
+    deployment d(ample_slots);
+    REQUIRE(d.apply_resources(d.resources(1)) == 0);
+    d.wait_for_full_coverage();
     for (auto port : d.backends)
-        REQUIRE(d.fault(port, {{"delay_ms", straggle_ms}, {"delay_probability", 1.0}}) == 200);
-    auto results = send_many(d, in_flight);
+        REQUIRE(d.set_fault(port, {{"delay_ms", search_delay_ms}, {"delay_probability", 1.0}}) == 200);
+    auto results = send_queries(d, in_flight);
     std::this_thread::sleep_for(std::chrono::milliseconds(200)); // let the queries reach the back ends
-    auto stopped = std::async(std::launch::async, [&d] { return d.group.stop("entry", SIGTERM); });
+    auto stop_status = std::async(std::launch::async, [&d] { return d.processes.stop("entry", SIGTERM); });
     REQUIRE(d.wait_until_draining());
     auto const refused = d.send("POST", paths::query, R"({"service":"svc","query":"sea"})");
     CHECK(refused.response.status == 503);
@@ -72,17 +72,17 @@
     auto const body = nlohmann::json::parse(refused.response.body);
     CHECK(body["error"] == "not_run");
     CHECK(body.contains("entries"));
-    check_whole(results);
-    CHECK(stopped.get() == 0);
+    check_complete(results);
+    CHECK(stop_status.get() == 0);
 }
 
 TEST_CASE("SIGTERM on an entry node finishes the writes in flight, and each ran once")
 {
-    deployment d(roomy_slots);
-    REQUIRE(d.apply(d.resources(1)) == 0);
-    d.wait_until_whole();
+    deployment d(ample_slots);
+    REQUIRE(d.apply_resources(d.resources(1)) == 0);
+    d.wait_for_full_coverage();
     for (auto port : d.backends)
-        REQUIRE(d.fault(port, {{"delay_ms", 1500}, {"delay_probability", 1.0}}) == 200);
+        REQUIRE(d.set_fault(port, {{"delay_ms", 1500}, {"delay_probability", 1.0}}) == 200);
     std::vector<std::future<client_result>> results;
     for (int i = 0; i < in_flight; ++i) {
         results.push_back(std::async(std::launch::async, [&d, i] {
@@ -97,65 +97,65 @@
         }));
     }
     std::this_thread::sleep_for(std::chrono::milliseconds(500)); // let the writes reach the back ends
-    CHECK(d.group.stop("entry", SIGTERM) == 0);
+    CHECK(d.processes.stop("entry", SIGTERM) == 0);
     for (auto& result : results) {
-        auto const reply = result.get();
-        REQUIRE(reply.outcome == send_outcome::answered);
-        CHECK(reply.response.status == 200);
+        auto const sent = result.get();
+        REQUIRE(sent.outcome == send_outcome::answered);
+        CHECK(sent.response.status == 200);
     }
-    std::map<std::string, int> runs;
+    std::map<std::string, int> run_counts;
     for (auto port : d.backends) {
         http_request request;
         request.path = paths::journal;
-        auto const reply = d.peers.call({"127.0.0.1", port}, std::move(request), milliseconds(5000));
-        auto const journal = nlohmann::json::parse(reply.response.body);
+        auto const result = d.stand_in_client.call({"127.0.0.1", port}, std::move(request), milliseconds(5000));
+        auto const journal = nlohmann::json::parse(result.response.body);
         for (auto const& entry : journal["entries"]) {
-            if (entry["write"] == true && entry["event"] == "ran") ++runs[entry["id"]];
+            if (entry["write"] == true && entry["event"] == "ran") ++run_counts[entry["id"]];
         }
     }
-    CHECK(runs.size() == in_flight);
-    for (auto const& [key, count] : runs)
+    CHECK(run_counts.size() == in_flight);
+    for (auto const& [key, count] : run_counts)
         CHECK(count == 1);
 }
 
 TEST_CASE("queries stay whole while a back end is frozen by SIGSTOP, and after it wakes")
 {
-    deployment d(roomy_slots);
-    REQUIRE(d.apply(d.resources(1)) == 0);
-    d.wait_until_whole();
-    auto const ask = [&d] {
+    deployment d(ample_slots);
+    REQUIRE(d.apply_resources(d.resources(1)) == 0);
+    d.wait_for_full_coverage();
+    auto const send_query = [&d] {
         auto const result = d.send("POST", paths::query, R"({"service":"svc","query":"sea","deadline_ms":4000})");
         REQUIRE(result.response.status == 200);
         CHECK(parse_message<query_answer>(result.response.body, "answer").coverage == doctest::Approx(1.0));
     };
-    d.group.stop("b0", SIGSTOP);
+    d.processes.stop("b0", SIGSTOP);
     for (int i = 0; i < 10; ++i)
-        ask();
-    d.group.stop("b0", SIGCONT);
+        send_query();
+    d.processes.stop("b0", SIGCONT);
     for (int i = 0; i < 10; ++i)
-        ask();
+        send_query();
 }
 
 TEST_CASE("SIGTERM on a back end finishes the searches it holds")
 {
-    deployment d(roomy_slots);
-    REQUIRE(d.apply(d.resources(1)) == 0);
-    d.wait_until_whole();
+    deployment d(ample_slots);
+    REQUIRE(d.apply_resources(d.resources(1)) == 0);
+    d.wait_for_full_coverage();
     // Only b0 straggles, so the queries wait on it while it is told to stop.
-    REQUIRE(d.fault(d.backends[0], {{"delay_ms", straggle_ms}, {"delay_probability", 1.0}}) == 200);
-    auto results = send_many(d, 2);
+    REQUIRE(d.set_fault(d.backends[0], {{"delay_ms", search_delay_ms}, {"delay_probability", 1.0}}) == 200);
+    auto results = send_queries(d, 2);
     std::this_thread::sleep_for(std::chrono::milliseconds(200));
-    CHECK(d.group.stop("b0", SIGTERM) == 0);
-    check_whole(results);
+    CHECK(d.processes.stop("b0", SIGTERM) == 0);
+    check_complete(results);
 }
 
 TEST_CASE("queries are served through a store outage and later changes still arrive")
 {
     deployment d;
-    REQUIRE(d.apply(d.resources(1)) == 0);
-    d.wait_until_whole();
+    REQUIRE(d.apply_resources(d.resources(1)) == 0);
+    d.wait_for_full_coverage();
     auto const before = d.entry_revision();
-    REQUIRE(d.fault(d.store, {{"outage_ms", 2000}}) == 200);
+    REQUIRE(d.set_fault(d.store, {{"outage_ms", 2000}}) == 200);
     for (int i = 0; i < 5; ++i) {
         auto const result = d.send("POST", paths::query, R"({"service":"svc","query":"sea"})");
         REQUIRE(result.response.status == 200);
@@ -163,13 +163,13 @@
         CHECK(d.entry_revision() >= before);
     }
     // During the outage the write is refused; once it ends, it goes through and reaches the entry node.
-    std::ofstream(d.group.path("route.toml"))
+    std::ofstream(d.processes.path("route.toml"))
         << "[[route]]\nname = \"r\"\ncustomer = \"Rechtshilfe\"\nservice = \"svc\"\n";
-    auto const until = std::chrono::steady_clock::now() + cornelspring::testing::converge_wait;
+    auto const until = std::chrono::steady_clock::now() + cornelspring::testing::convergence_timeout;
     std::string output;
     int status = -1;
     while (status != 0 && std::chrono::steady_clock::now() < until) {
-        status = d.ctl({"apply", d.group.path("route.toml")}, output);
+        status = d.run_ctl({"apply", d.processes.path("route.toml")}, output);
         if (status != 0) std::this_thread::sleep_for(std::chrono::milliseconds(100));
     }
     REQUIRE(status == 0);
@@ -183,10 +183,10 @@
 TEST_CASE("a query refused as not run reached no back end")
 {
     deployment d;
-    REQUIRE(d.apply(d.resources(1)) == 0);
-    d.wait_until_whole();
+    REQUIRE(d.apply_resources(d.resources(1)) == 0);
+    d.wait_for_full_coverage();
     for (auto const* name : {"b0", "b1", "b2"})
-        d.group.stop(name, SIGKILL);
+        d.processes.stop(name, SIGKILL);
     auto const result = d.send("POST", paths::query, R"({"service":"svc","query":"sea"})");
     REQUIRE(result.outcome == send_outcome::answered);
     CHECK(result.response.status == 503);
--- a/tests/test_gateway_places.cpp
+++ b/tests/test_gateway_placement.cpp
@@ -1,4 +1,4 @@
-/** @file test_gateway_places.cpp Homes and evacuations at the gateway process, against the platform on loopback. */
+/** @file test_gateway_placement.cpp Homes and evacuations at the gateway process, against the platform on loopback. */
 #include "gateway_fixture.hpp"
 
 #include <doctest/doctest.h>
@@ -14,9 +14,9 @@
 namespace {
 
 /** The journal's entries from the @p from-th on that reached servers of failure domain @p domain. */
-int reached_in(gateway_fleet& fleet, std::size_t from, std::string const& domain)
+int requests_in_domain(gateway_fleet& fleet, std::size_t from, std::string const& domain)
 {
-    auto const entries = fleet.entries();
+    auto const entries = fleet.registrations();
     auto const journal = fleet.journal();
     int found = 0;
     for (std::size_t i = from; i < journal.size(); ++i)
@@ -25,14 +25,14 @@
 }
 
 /** Asks for answers of both kinds. @return how many were successes. */
-int ask_ten(gateway_fleet& fleet, int gateway, std::string const& tag)
+int send_ten(gateway_fleet& fleet, int gateway, std::string const& id_prefix)
 {
-    int served = 0;
+    int succeeded = 0;
     for (int i = 0; i < 5; ++i) {
-        served += fleet.ask(gateway, "/q/x", tag + "q" + std::to_string(i)).status == 200 ? 1 : 0;
-        served += fleet.ask(gateway, "/r/x", tag + "r" + std::to_string(i)).status == 200 ? 1 : 0;
+        succeeded += fleet.send_request(gateway, "/q/x", id_prefix + "q" + std::to_string(i)).status == 200 ? 1 : 0;
+        succeeded += fleet.send_request(gateway, "/r/x", id_prefix + "r" + std::to_string(i)).status == 200 ? 1 : 0;
     }
-    return served;
+    return succeeded;
 }
 
 } // namespace
@@ -41,20 +41,20 @@
 {
     gateway_fleet fleet;
     fleet.start_gateway(1, "d1");
-    CHECK(ask_ten(fleet, 1, "a") == 10);
-    CHECK(reached_in(fleet, 0, "d1") > 0);
-    fleet.store("put", {{"key", "op/evacuate/d1"}, {"value", json::object()}});
+    CHECK(send_ten(fleet, 1, "a") == 10);
+    CHECK(requests_in_domain(fleet, 0, "d1") > 0);
+    fleet.call_store("put", {{"key", "op/evacuate/d1"}, {"value", json::object()}});
     std::this_thread::sleep_for(500ms);
     auto const evacuated = fleet.journal().size();
-    CHECK(ask_ten(fleet, 1, "b") == 10);
+    CHECK(send_ten(fleet, 1, "b") == 10);
     fleet.start_gateway(2, "d1");
-    CHECK(ask_ten(fleet, 2, "c") == 10);
-    CHECK(reached_in(fleet, evacuated, "d1") == 0);
-    fleet.store("drop", {{"key", "op/evacuate/d1"}});
+    CHECK(send_ten(fleet, 2, "c") == 10);
+    CHECK(requests_in_domain(fleet, evacuated, "d1") == 0);
+    fleet.call_store("drop", {{"key", "op/evacuate/d1"}});
     CHECK(within_ten_seconds([&] {
         auto const from = fleet.journal().size();
-        ask_ten(fleet, 1, "d");
-        return reached_in(fleet, from, "d1") > 0;
+        send_ten(fleet, 1, "d");
+        return requests_in_domain(fleet, from, "d1") > 0;
     }));
 }
 
@@ -65,9 +65,9 @@
     fleet.configure(2, {"g0", "g1", "g2", "g3"}, {"r-d2"});
     std::this_thread::sleep_for(500ms);
     auto const from = fleet.journal().size();
-    CHECK(ask_ten(fleet, 1, "a") == 10);
-    fleet.store("fault", {{"mode", "silent"}});
-    CHECK(ask_ten(fleet, 1, "b") == 10);
-    CHECK(reached_in(fleet, from, "d1") == 0);
-    CHECK(reached_in(fleet, from, "d2") > 0);
+    CHECK(send_ten(fleet, 1, "a") == 10);
+    fleet.call_store("fault", {{"mode", "silent"}});
+    CHECK(send_ten(fleet, 1, "b") == 10);
+    CHECK(requests_in_domain(fleet, from, "d1") == 0);
+    CHECK(requests_in_domain(fleet, from, "d2") > 0);
 }
--- a/tests/test_gateway_process.cpp
+++ b/tests/test_gateway_process.cpp
@@ -32,12 +32,12 @@
 }
 
 /** @return how often requests with id @p id ran, according to @p journal. */
-int runs_of(json const& journal, std::string const& id)
+int run_count(json const& journal, std::string const& id)
 {
-    int runs = 0;
+    int count = 0;
     for (auto const& entry : journal)
-        runs += entry["id"] == id && entry["ran"] == true ? 1 : 0;
-    return runs;
+        count += entry["id"] == id && entry["ran"] == true ? 1 : 0;
+    return count;
 }
 
 /** All shards. */
@@ -49,17 +49,17 @@
 {
     gateway_fleet fleet;
     fleet.start_gateway(1);
-    auto const answer = fleet.ask(1, "/q/a?x=1", "id-1");
-    CHECK(answer.status == 200);
-    CHECK(answer.header("missing-parts") == "0");
-    CHECK(answer.body == expected_records(shards, "id-1", 4));
-    auto const read = fleet.ask(1, "/r/x", "id-2");
+    auto const response = fleet.send_request(1, "/q/a?x=1", "id-1");
+    CHECK(response.status == 200);
+    CHECK(response.header("missing-parts") == "0");
+    CHECK(response.body == expected_records(shards, "id-1", 4));
+    auto const read = fleet.send_request(1, "/r/x", "id-2");
     CHECK(read.status == 200);
     CHECK(read.header("server-stamp") != "");
     CHECK(read.body == shard_server::records("s", "id-2"));
-    auto const write = fleet.ask(1, "/w/x", "id-3", "POST", "entry");
+    auto const write = fleet.send_request(1, "/w/x", "id-3", "POST", "entry");
     CHECK(write.body == "ran entry");
-    CHECK(fleet.ask(1, "/none/x", "id-4").status == 404);
+    CHECK(fleet.send_request(1, "/none/x", "id-4").status == 404);
     auto const addresses = gateway_fleet::get(gateway_fleet::address(1, "directory"),
                                               "/cornelspring/resolve?name=h.example&region=r-d1&zone=d1");
     CHECK(json::parse(addresses.body)["addrs"] == json::array({gateway_fleet::address(1, "frontend").to_string()}));
@@ -72,15 +72,15 @@
 {
     gateway_fleet fleet;
     fleet.start_gateway(1);
-    auto const opened = [] {
+    auto const opened_connections = [] {
         auto const text = gateway_fleet::get({gateway_fleet::address(1, "ready").host, 9464}, "/metrics").body;
         std::string const name = "backend_connections_opened\"} ";
         return std::stoi(text.substr(text.find(name) + name.size()));
     };
-    CHECK(within_ten_seconds([&] { return opened() == 8; }));
+    CHECK(within_ten_seconds([&] { return opened_connections() == 8; }));
     CHECK(fleet.journal().empty());
-    CHECK(fleet.ask(1, "/q/a", "id-1").status == 200);
-    CHECK(opened() == 8);
+    CHECK(fleet.send_request(1, "/q/a", "id-1").status == 200);
+    CHECK(opened_connections() == 8);
 }
 
 TEST_CASE("a gateway that is ready names an address from the first moment on")
@@ -92,9 +92,9 @@
     while (clock::now() < until && asked < 50) {
         if (fleet.get(gateway_fleet::address(1, "ready"), "/cornelspring/ready").status != 200) continue;
         ++asked;
-        auto const answer = fleet.get(gateway_fleet::address(1, "directory"), "/cornelspring/resolve?name=h.example");
-        REQUIRE(answer.status == 200);
-        CHECK(json::parse(answer.body)["addrs"].size() == 1);
+        auto const response = fleet.get(gateway_fleet::address(1, "directory"), "/cornelspring/resolve?name=h.example");
+        REQUIRE(response.status == 200);
+        CHECK(json::parse(response.body)["addrs"].size() == 1);
     }
     CHECK(asked == 50);
 }
@@ -112,23 +112,23 @@
                              row{"no_signature", 200}, row{"encoded", 200}, row{"error", 200}, row{"shed", 200},
                              row{"reset", 200}, row{"silent_run", 200}, row{"hang", 200}, row{"early", 200}}) {
         CAPTURE(std::string(each.mode));
-        fleet.behave({{"service", "s"}, {"backend", "i-s-0"}, {"mode", each.mode}});
-        fleet.behave({{"service", "g1"}, {"backend", "i-g1-0"}, {"mode", each.mode}});
+        fleet.set_backend_behavior({{"service", "s"}, {"backend", "i-s-0"}, {"mode", each.mode}});
+        fleet.set_backend_behavior({{"service", "g1"}, {"backend", "i-g1-0"}, {"mode", each.mode}});
         for (int i = 0; i < 6; ++i) {
             auto const id = "id-" + std::to_string(++number);
-            auto const query = fleet.ask(1, "/q/a", id);
+            auto const query = fleet.send_request(1, "/q/a", id);
             CHECK(query.status == each.gather_status);
             auto parts = shards;
             if (query.header("missing-parts") == "1") parts.erase(parts.begin() + 1);
             CHECK(query.body == expected_records(parts, id, 4));
-            auto const read = fleet.ask(1, "/r/a", id + "r");
+            auto const read = fleet.send_request(1, "/r/a", id + "r");
             if (read.status == 200) CHECK(read.body == shard_server::records("s", id + "r"));
             CHECK(read.status == 200);
-            auto const write = fleet.ask(1, "/w/a", id + "w", "POST", "entry " + id);
+            auto const write = fleet.send_request(1, "/w/a", id + "w", "POST", "entry " + id);
             if (write.status == 200) CHECK(write.body == "ran entry " + id);
             CHECK((write.status == 200 || write.status == 502 || write.status == 504 || write.status == 500));
         }
-        fleet.behave({{"mode", "ok"}});
+        fleet.set_backend_behavior({{"mode", "ok"}});
     }
     auto const journal = fleet.journal();
     std::set<std::string> writes;
@@ -136,22 +136,22 @@
         if (entry["line"] == "POST /w/a") writes.insert(entry["id"]);
     }
     for (auto const& id : writes)
-        CHECK(runs_of(journal, id) <= 1);
+        CHECK(run_count(journal, id) <= 1);
 }
 
 TEST_CASE("a refused write has not run, and one that ran is never called refused")
 {
     gateway_fleet fleet;
     fleet.start_gateway(1);
-    fleet.behave({{"service", "s"}, {"mode", "shed"}});
-    auto const refused = fleet.ask(1, "/w/a", "id-1", "POST", "x");
+    fleet.set_backend_behavior({{"service", "s"}, {"mode", "shed"}});
+    auto const refused = fleet.send_request(1, "/w/a", "id-1", "POST", "x");
     CHECK(refused.status == 503);
     CHECK(refused.header("retry-after") != "");
-    CHECK(runs_of(fleet.journal(), "id-1") == 0);
-    fleet.behave({{"service", "s"}, {"mode", "silent_run"}});
+    CHECK(run_count(fleet.journal(), "id-1") == 0);
+    fleet.set_backend_behavior({{"service", "s"}, {"mode", "silent_run"}});
     std::this_thread::sleep_for(200ms);
-    CHECK(fleet.ask(1, "/w/a", "id-2", "POST", "x").status == 502);
-    CHECK(runs_of(fleet.journal(), "id-2") == 1);
+    CHECK(fleet.send_request(1, "/w/a", "id-2", "POST", "x").status == 502);
+    CHECK(run_count(fleet.journal(), "id-2") == 1);
 }
 
 TEST_CASE("callers that break the protocol are refused, and nothing of theirs reaches a backend server")
@@ -176,9 +176,9 @@
         CAPTURE(each.bytes.substr(0, 120));
         raw_connection connection(gateway_fleet::address(1, "frontend"));
         connection.send(each.bytes);
-        auto const answer = connection.receive();
-        REQUIRE(answer);
-        CHECK(answer->status == each.status);
+        auto const response = connection.receive();
+        REQUIRE(response);
+        CHECK(response->status == each.status);
     }
     CHECK(fleet.journal().empty());
 }
@@ -188,29 +188,29 @@
     gateway_fleet fleet;
     fleet.start_gateway(1);
     fleet.start_gateway(2, "d2");
-    auto const named = [&](int asked) {
+    auto const resolve = [&](int asked) {
         return gateway_fleet::get(gateway_fleet::address(asked, "directory"),
                                   "/cornelspring/resolve?name=h.example&region=r-d1&zone=d1")
             .body;
     };
-    REQUIRE(within_ten_seconds([&] { return json::parse(named(2))["addrs"].size() == 2; }));
-    fleet.behave({{"service", "s"}, {"work_ms", 800}});
+    REQUIRE(within_ten_seconds([&] { return json::parse(resolve(2))["addrs"].size() == 2; }));
+    fleet.set_backend_behavior({{"service", "s"}, {"work_ms", 800}});
     raw_connection slow(gateway_fleet::address(1, "frontend"));
     slow.send(
         "POST /w/a HTTP/1.1\r\nHost: h.example\r\nRequest-Id: id-1\r\nDeadline: 1900\r\nContent-Length: 1\r\n\r\nx");
     std::this_thread::sleep_for(100ms);
     std::thread stopping([&] { CHECK(fleet.processes.stop("gw-1", SIGTERM) == 0); });
     fleet.await_ready(1, 503);
-    auto const answer = slow.receive();
-    REQUIRE(answer);
-    CHECK(answer->status == 200);
-    CHECK(answer->header("connection") == "close");
+    auto const response = slow.receive();
+    REQUIRE(response);
+    CHECK(response->status == 200);
+    CHECK(response->header("connection") == "close");
     CHECK(within_ten_seconds(
-        [&] { return named(2).find(gateway_fleet::address(1, "frontend").to_string()) == std::string::npos; }));
+        [&] { return resolve(2).find(gateway_fleet::address(1, "frontend").to_string()) == std::string::npos; }));
     // Callers that still have its address are served until shortly before its time is up.
-    CHECK(fleet.ask(1, "/q/a", "id-2").status == 200);
+    CHECK(fleet.send_request(1, "/q/a", "id-2").status == 200);
     stopping.join();
-    CHECK(fleet.ask(1, "/q/a", "id-3").status == 0);
+    CHECK(fleet.send_request(1, "/q/a", "id-3").status == 0);
 }
 
 TEST_CASE("a gateway that was killed is named no longer than its registration lives")
@@ -219,31 +219,31 @@
     fleet.start_gateway(1);
     fleet.start_gateway(2);
     fleet.start_gateway(3, "d2");
-    auto const named_by = [](int asked) {
+    auto const resolve = [](int asked) {
         return gateway_fleet::get(gateway_fleet::address(asked, "directory"),
                                   "/cornelspring/resolve?name=h.example&region=r-d1&zone=d1")
             .body;
     };
-    auto const dead = gateway_fleet::address(2, "frontend").to_string();
-    REQUIRE(within_ten_seconds([&] { return named_by(1).find(dead) != std::string::npos; }));
-    REQUIRE(within_ten_seconds([&] { return named_by(3).find(dead) != std::string::npos; }));
+    auto const killed_address = gateway_fleet::address(2, "frontend").to_string();
+    REQUIRE(within_ten_seconds([&] { return resolve(1).find(killed_address) != std::string::npos; }));
+    REQUIRE(within_ten_seconds([&] { return resolve(3).find(killed_address) != std::string::npos; }));
     fleet.processes.stop("gw-2", SIGKILL);
     std::this_thread::sleep_for(7500ms); // The lease of 6 s, and the way of its end over the feed.
     for (int const asked : {1, 3})
-        CHECK(named_by(asked).find(dead) == std::string::npos);
+        CHECK(resolve(asked).find(killed_address) == std::string::npos);
 }
 
 TEST_CASE("through a store outage gateways serve on, and learn what changed after it")
 {
     gateway_fleet fleet;
     fleet.start_gateway(1);
-    fleet.store("fault", {{"mode", "silent"}});
+    fleet.call_store("fault", {{"mode", "silent"}});
     std::this_thread::sleep_for(3s);
-    CHECK(fleet.ask(1, "/q/a", "id-1").status == 200);
+    CHECK(fleet.send_request(1, "/q/a", "id-1").status == 200);
     fleet.configure(2, {"g0", "g1"});
-    fleet.store("fault", {{"mode", "ok"}});
+    fleet.call_store("fault", {{"mode", "ok"}});
     CHECK(within_ten_seconds([&] {
-        return fleet.ask(1, "/q/a", "id-2").body == expected_records({"g0", "g1"}, "id-2", 4);
+        return fleet.send_request(1, "/q/a", "id-2").body == expected_records({"g0", "g1"}, "id-2", 4);
     }));
 }
 
@@ -251,9 +251,9 @@
 {
     gateway_fleet fleet;
     fleet.start_gateway(1);
-    fleet.store("fault", {{"mode", "silent"}});
+    fleet.call_store("fault", {{"mode", "silent"}});
     fleet.start_gateway(2, "d2");
-    CHECK(fleet.ask(2, "/q/a", "id-1").body == expected_records(shards, "id-1", 4));
+    CHECK(fleet.send_request(2, "/q/a", "id-1").body == expected_records(shards, "id-1", 4));
 }
 
 TEST_CASE("only one gateway of a failure domain watches the store, and the others learn changes from it in time")
@@ -262,24 +262,24 @@
     for (int number = 1; number <= 4; ++number)
         fleet.start_gateway(number);
     std::this_thread::sleep_for(2s);
-    auto const before = fleet.store("calls")["/cornelspring/kv-watch"].get<int>();
-    auto const begin = clock::now();
+    auto const before = fleet.call_store("calls")["/cornelspring/kv-watch"].get<int>();
+    auto const changed_at = clock::now();
     fleet.configure(2, {"g0", "g1"});
     for (int number = 1; number <= 4; ++number) {
         CHECK(within_ten_seconds([&] {
             auto const id = "id-" + std::to_string(number);
-            return fleet.ask(number, "/q/a", id).body == expected_records({"g0", "g1"}, id, 4);
+            return fleet.send_request(number, "/q/a", id).body == expected_records({"g0", "g1"}, id, 4);
         }));
     }
-    CHECK(clock::now() - begin < 1500ms);
+    CHECK(clock::now() - changed_at < 1500ms);
     std::this_thread::sleep_for(3s);
-    auto const watches = fleet.store("calls")["/cornelspring/kv-watch"].get<int>() - before;
+    auto const watches = fleet.call_store("calls")["/cornelspring/kv-watch"].get<int>() - before;
     CHECK(watches <= 5); // One VM, 1.5 s each; four VMs made four times as many.
     // The one that reads the store dies: the others find the next at once.
     fleet.processes.stop("gw-1", SIGKILL);
     fleet.configure(3, {"g2", "g3"});
     CHECK(within_ten_seconds([&] {
-        return fleet.ask(4, "/q/a", "id-9").body == expected_records({"g2", "g3"}, "id-9", 4);
+        return fleet.send_request(4, "/q/a", "id-9").body == expected_records({"g2", "g3"}, "id-9", 4);
     }));
 }
 
@@ -300,7 +300,7 @@
         CHECK(lines(number, R"("event":"backend")") == 0); // A full read is counted.
         CHECK(lines(number, R"("event":"learned")") >= 1);
     }
-    auto entry = fleet.entries()["i-s-0"];
+    auto entry = fleet.registrations()["i-s-0"];
     entry["state"] = "draining";
     entry["seq"] = 1000;
     fleet.register_backend("i-s-0", entry);
@@ -316,24 +316,24 @@
     gateway_fleet fleet;
     fleet.start_gateway(1);
     fleet.start_gateway(2);
-    auto const entries = fleet.entries();
+    auto const entries = fleet.registrations();
     std::this_thread::sleep_for(1s); // The second gateway follows the first.
-    fleet.store("fault", {{"mode", "silent"}});
+    fleet.call_store("fault", {{"mode", "silent"}});
     std::this_thread::sleep_for(4500ms);
     for (char const* id : {"i-s-0", "i-s-1"})
-        fleet.store("drop", {{"key", std::string("servers/") + id}});
-    fleet.store("fault", {{"mode", "ok"}});
-    auto const back = clock::now();
+        fleet.call_store("drop", {{"key", std::string("servers/") + id}});
+    fleet.call_store("fault", {{"mode", "ok"}});
+    auto const recovered_at = clock::now();
     int asked = 0;
-    while (clock::now() < back + 1800ms) {
+    while (clock::now() < recovered_at + 1800ms) {
         for (int const number : {1, 2})
-            CHECK(fleet.ask(number, "/r/a", "id-" + std::to_string(++asked)).status == 200);
+            CHECK(fleet.send_request(number, "/r/a", "id-" + std::to_string(++asked)).status == 200);
         std::this_thread::sleep_for(100ms);
     }
     // One returns, the other is still missing after that time, and is gone.
     fleet.register_backend("i-s-0", entries["i-s-0"]);
     std::this_thread::sleep_for(2500ms);
-    CHECK(fleet.ask(2, "/r/a", "id-last").status == 200);
+    CHECK(fleet.send_request(2, "/r/a", "id-last").status == 200);
     CHECK(fleet.journal().back()["backend"] == "i-s-0");
 }
 
@@ -341,8 +341,8 @@
 {
     gateway_fleet fleet;
     fleet.start_gateway(1);
-    auto const registering = [&] {
-        auto const by_path = fleet.store("calls");
+    auto const registration_calls = [&] {
+        auto const by_path = fleet.call_store("calls");
         int calls = 0;
         for (auto const& [path, count] : by_path.items()) {
             bool const reads = path.ends_with("/kv-watch") || path.ends_with("/kv-range");
@@ -350,36 +350,36 @@
         }
         return calls;
     };
-    fleet.store("fault", {{"mode", "busy"}});
-    auto const before = registering();
+    fleet.call_store("fault", {{"mode", "busy"}});
+    auto const before = registration_calls();
     std::this_thread::sleep_for(6s);
-    CHECK(registering() - before <= 7); // One each 0.4 s made 10 and more.
-    fleet.store("fault", {{"mode", "ok"}});
-    auto const back = registering();
+    CHECK(registration_calls() - before <= 7); // One each 0.4 s made 10 and more.
+    fleet.call_store("fault", {{"mode", "ok"}});
+    auto const calls_at_recovery = registration_calls();
     std::this_thread::sleep_for(2s);
-    CHECK(registering() > back);
+    CHECK(registration_calls() > calls_at_recovery);
 }
 
 TEST_CASE("a watch that hears nothing does not keep a configuration back")
 {
     gateway_fleet fleet;
     fleet.start_gateway(1);
-    fleet.store("fault", {{"deaf_watches", true}});
+    fleet.call_store("fault", {{"deaf_watches", true}});
     std::this_thread::sleep_for(2s);
     fleet.configure(2, {"g0", "g1"});
-    fleet.store("fault", {{"deaf_watches", false}});
-    auto const begin = clock::now();
+    fleet.call_store("fault", {{"deaf_watches", false}});
+    auto const changed_at = clock::now();
     CHECK(within_ten_seconds([&] {
-        return fleet.ask(1, "/q/a", "id-2").body == expected_records({"g0", "g1"}, "id-2", 4);
+        return fleet.send_request(1, "/q/a", "id-2").body == expected_records({"g0", "g1"}, "id-2", 4);
     }));
-    CHECK(clock::now() - begin < 2500ms);
+    CHECK(clock::now() - changed_at < 2500ms);
 }
 
 TEST_CASE("draining and removed backend servers get no new work, and another server at the address runs nothing")
 {
     gateway_fleet fleet;
     fleet.start_gateway(1);
-    auto entry = fleet.entries()["i-s-0"];
+    auto entry = fleet.registrations()["i-s-0"];
     entry["state"] = "draining";
     fleet.register_backend("i-s-0", entry);
     std::this_thread::sleep_for(600ms);
@@ -390,13 +390,13 @@
         return found;
     };
     for (int i = 0; i < 10; ++i)
-        CHECK(fleet.ask(1, "/r/a", "id-" + std::to_string(i)).status == 200);
+        CHECK(fleet.send_request(1, "/r/a", "id-" + std::to_string(i)).status == 200);
     CHECK(count("i-s-0") == 0);
     std::this_thread::sleep_for(1s); // Shortly after the news, a draining server may still help when no other can.
     // The other one's address goes to a server of another service.
-    fleet.behave({{"backend", "i-s-1"}, {"rename", "i-other-7"}});
-    auto const refused = fleet.ask(1, "/w/a", "id-w", "POST", "x");
-    CHECK(runs_of(fleet.journal(), "id-w") == 0);
+    fleet.set_backend_behavior({{"backend", "i-s-1"}, {"rename", "i-other-7"}});
+    auto const refused = fleet.send_request(1, "/w/a", "id-w", "POST", "x");
+    CHECK(run_count(fleet.journal(), "id-w") == 0);
     CHECK(refused.status == 503);
 }
 
@@ -404,7 +404,7 @@
 {
     gateway_fleet fleet;
     fleet.start_gateway(1);
-    auto const settle = [] { std::this_thread::sleep_for(600ms); };
+    auto const wait_for_feed = [] { std::this_thread::sleep_for(600ms); };
     auto const count = [&](char const* backend) {
         int found = 0;
         for (auto const& each : fleet.journal())
@@ -412,22 +412,22 @@
         return found;
     };
     int asked = 0;
-    auto const ask_ten = [&] {
-        int good = 0;
+    auto const send_ten_reads = [&] {
+        int succeeded = 0;
         for (int i = 0; i < 10; ++i)
-            good += fleet.ask(1, "/r/a", "id-" + std::to_string(++asked)).status == 200 ? 1 : 0;
-        return good;
+            succeeded += fleet.send_request(1, "/r/a", "id-" + std::to_string(++asked)).status == 200 ? 1 : 0;
+        return succeeded;
     };
-    auto const well = fleet.entries()["i-s-0"];
-    auto entry = well;
+    auto const healthy = fleet.registrations()["i-s-0"];
+    auto entry = healthy;
     entry["born"] = 2000;
     entry["state"] = "draining";
     fleet.register_backend("i-s-0", entry);
-    settle();
-    CHECK(ask_ten() == 10);
+    wait_for_feed();
+    CHECK(send_ten_reads() == 10);
     CHECK(count("i-s-0") == 0);
     // Its new start takes work at once; a late entry of the old one changes nothing.
-    entry = well;
+    entry = healthy;
     entry["born"] = 3000;
     entry["seq"] = 1;
     fleet.register_backend("i-s-0", entry);
@@ -435,33 +435,33 @@
     entry["state"] = "draining";
     entry["seq"] = 90;
     fleet.register_backend("i-s-0", entry);
-    settle();
-    CHECK(ask_ten() == 10);
+    wait_for_feed();
+    CHECK(send_ten_reads() == 10);
     int const before = count("i-s-0");
     CHECK(before > 0);
     // Another writer: one entry that cannot be read, for a known server, and one for nobody.
     entry["state"] = 5;
     fleet.register_backend("i-s-0", entry);
     fleet.register_backend("i-nobody", json::array({1, 2}));
-    settle();
-    CHECK(ask_ten() == 10);
+    wait_for_feed();
+    CHECK(send_ten_reads() == 10);
     CHECK(count("i-s-0") == before);
     CHECK(count("i-s-1") > 0);
-    CHECK(fleet.ask(1, "/q/a", "id-q").body == expected_records(shards, "id-q", 4));
+    CHECK(fleet.send_request(1, "/q/a", "id-q").body == expected_records(shards, "id-q", 4));
 }
 
 TEST_CASE("a caller that leaves takes its work along")
 {
     gateway_fleet fleet;
     fleet.start_gateway(1);
-    fleet.behave({{"service", "s"}, {"mode", "hang"}});
+    fleet.set_backend_behavior({{"service", "s"}, {"mode", "hang"}});
     {
         raw_connection caller(gateway_fleet::address(1, "frontend"));
         caller.send("GET /r/a HTTP/1.1\r\nHost: h.example\r\nRequest-Id: id-1\r\nDeadline: 1900\r\n\r\n");
         std::this_thread::sleep_for(100ms);
     }
     std::this_thread::sleep_for(1s);
-    CHECK(runs_of(fleet.journal(), "id-1") == 1); // Not retried or hedged after the caller had left.
+    CHECK(run_count(fleet.journal(), "id-1") == 1); // Not retried or hedged after the caller had left.
 }
 
 TEST_CASE("a gateway that stood still does not take its own pause for a queue at the backend servers")
@@ -469,31 +469,31 @@
     gateway_fleet fleet;
     fleet.start_gateway(1);
     for (int i = 0; i < 20; ++i)
-        CHECK(fleet.ask(1, "/q/a", "warm-" + std::to_string(i)).status == 200);
-    fleet.behave({{"mode", "ok"}, {"work_ms", 60}});
+        CHECK(fleet.send_request(1, "/q/a", "warm-" + std::to_string(i)).status == 200);
+    fleet.set_backend_behavior({{"mode", "ok"}, {"work_ms", 60}});
     auto const send = [&](std::string const& id) {
         auto connection = std::make_unique<raw_connection>(gateway_fleet::address(1, "frontend"));
         connection->send("GET /q/a HTTP/1.1\r\nHost: h.example\r\nRequest-Id: " + id + "\r\nDeadline: 1900\r\n\r\n");
         return connection;
     };
-    int served = 0;
+    int succeeded = 0;
     int asked = 0;
     for (int round = 0; round < 5; ++round) {
         auto const before = send("before-" + std::to_string(round));
         std::this_thread::sleep_for(20ms);
         fleet.processes.stop("gw-1", SIGSTOP);
         std::this_thread::sleep_for(350ms);
-        std::vector<std::unique_ptr<raw_connection>> during;
+        std::vector<std::unique_ptr<raw_connection>> sent_during_pause;
         for (int i = 0; i < 4; ++i)
-            during.push_back(send("during-" + std::to_string(round) + "-" + std::to_string(i)));
+            sent_during_pause.push_back(send("during-" + std::to_string(round) + "-" + std::to_string(i)));
         fleet.processes.stop("gw-1", SIGCONT);
-        for (auto const& each : during) {
-            auto const answer = each->receive();
+        for (auto const& each : sent_during_pause) {
+            auto const response = each->receive();
             ++asked;
-            served += answer && answer->status == 200 ? 1 : 0;
+            succeeded += response && response->status == 200 ? 1 : 0;
         }
         before->receive();
         std::this_thread::sleep_for(200ms);
     }
-    CHECK(served == asked);
+    CHECK(succeeded == asked);
 }
--- a/tests/test_restored_store.cpp
+++ b/tests/test_restored_store.cpp
@@ -14,34 +14,34 @@
 namespace {
 
 /** The store is away, and back with what it held when the last copy was made. */
-void return_to_copy(gateway_fleet& fleet, std::chrono::milliseconds away = 700ms)
+void restore_copy(gateway_fleet& fleet, std::chrono::milliseconds outage = 700ms)
 {
-    fleet.store("fault", {{"mode", "busy"}});
-    std::this_thread::sleep_for(away);
-    fleet.store("restore");
-    fleet.store("fault", {{"mode", "ok"}});
+    fleet.call_store("fault", {{"mode", "busy"}});
+    std::this_thread::sleep_for(outage);
+    fleet.call_store("restore");
+    fleet.call_store("fault", {{"mode", "ok"}});
 }
 
 /** @return whether gateway @p number answers queries over @p shards shards. */
-bool serves(gateway_fleet& fleet, int number, std::size_t shards)
+bool serves_shards(gateway_fleet& fleet, int number, std::size_t shards)
 {
-    static int asked = 0;
-    auto const answer = fleet.ask(number, "/q/a", "id-" + std::to_string(++asked));
-    auto const stamps = answer.header("part-stamps");
-    auto const parts = 1 + static_cast<std::size_t>(std::count(stamps.begin(), stamps.end(), ','));
-    auto const missing = answer.header("missing-parts");
-    return answer.status == 200 && parts + std::stoul(missing.empty() ? "0" : missing) == shards;
+    static int sent = 0;
+    auto const response = fleet.send_request(number, "/q/a", "id-" + std::to_string(++sent));
+    auto const signatures = response.header("part-stamps");
+    auto const parts = 1 + static_cast<std::size_t>(std::count(signatures.begin(), signatures.end(), ','));
+    auto const missing = response.header("missing-parts");
+    return response.status == 200 && parts + std::stoul(missing.empty() ? "0" : missing) == shards;
 }
 
 /** Configures until the store's revision is that of the copy and @p more. */
-void configure_times(gateway_fleet& fleet, int first_version, int more)
+void configure_repeatedly(gateway_fleet& fleet, int first_version, int count)
 {
-    for (int i = 0; i < more; ++i)
+    for (int i = 0; i < count; ++i)
         fleet.configure(first_version + i, {"g0", "g1"});
 }
 
 /** How soon a configuration is to be in force after its acknowledgement. */
-constexpr auto apply_bound = 3000ms;
+constexpr auto max_apply_time = 3000ms;
 
 } // namespace
 
@@ -52,22 +52,22 @@
     fleet.start_gateway(2, "d1");
     fleet.start_gateway(3, "d2");
     int version = 1;
-    for (int times = 0; times < 2; ++times) {
+    for (int round = 0; round < 2; ++round) {
         std::this_thread::sleep_for(500ms);
-        fleet.store("copy");
-        configure_times(fleet, version + 1, 6);
+        fleet.call_store("copy");
+        configure_repeatedly(fleet, version + 1, 6);
         version += 6;
         for (int const gateway : {1, 2, 3})
-            CHECK(within_ten_seconds([&] { return serves(fleet, gateway, 2); }));
-        return_to_copy(fleet);
+            CHECK(within_ten_seconds([&] { return serves_shards(fleet, gateway, 2); }));
+        restore_copy(fleet);
         std::this_thread::sleep_for(1s);
         fleet.configure(++version, {"g0", "g1", "g2"});
-        auto const acknowledged = clock::now();
+        auto const acknowledged_at = clock::now();
         for (int const gateway : {1, 2, 3}) {
             CAPTURE(gateway);
-            CHECK(within_ten_seconds([&] { return serves(fleet, gateway, 3); }));
+            CHECK(within_ten_seconds([&] { return serves_shards(fleet, gateway, 3); }));
         }
-        CHECK(clock::now() - acknowledged < apply_bound);
+        CHECK(clock::now() - acknowledged_at < max_apply_time);
     }
 }
 
@@ -77,76 +77,76 @@
     fleet.start_gateway(1, "d1");
     fleet.start_gateway(2, "d1");
     fleet.start_gateway(3, "d2");
-    fleet.store("copy");
-    configure_times(fleet, 2, 6);
+    fleet.call_store("copy");
+    configure_repeatedly(fleet, 2, 6);
     std::this_thread::sleep_for(500ms);
     fleet.processes.stop("gw-3", SIGSTOP);
     fleet.processes.stop("gw-1", SIGKILL);
-    return_to_copy(fleet);
+    restore_copy(fleet);
     fleet.start_gateway(1, "d1");
     std::this_thread::sleep_for(1s);
     fleet.processes.stop("gw-3", SIGCONT);
     fleet.configure(8, {"g0", "g1", "g2"});
-    auto const acknowledged = clock::now();
+    auto const acknowledged_at = clock::now();
     for (int const gateway : {1, 2, 3}) {
         CAPTURE(gateway);
-        CHECK(within_ten_seconds([&] { return serves(fleet, gateway, 3); }));
+        CHECK(within_ten_seconds([&] { return serves_shards(fleet, gateway, 3); }));
     }
-    CHECK(clock::now() - acknowledged < apply_bound + 1s);
+    CHECK(clock::now() - acknowledged_at < max_apply_time + 1s);
 }
 
 TEST_CASE("what a gateway wrote and the store lost with an older copy is there again, and it stays named meanwhile")
 {
     gateway_fleet fleet;
     fleet.start_gateway(1, "d1");
-    fleet.store("copy");
+    fleet.call_store("copy");
     fleet.start_gateway(2, "d1");
-    auto const named = [&] {
+    auto const is_resolved = [&] {
         return gateway_fleet::get(gateway_fleet::address(1, "directory"),
                                   "/cornelspring/resolve?name=h.example&region=r-d1&zone=d1")
                    .body.find(gateway_fleet::address(2, "frontend").to_string()) != std::string::npos;
     };
-    REQUIRE(within_ten_seconds(named));
-    return_to_copy(fleet);
+    REQUIRE(within_ten_seconds(is_resolved));
+    restore_copy(fleet);
     auto const until = clock::now() + 4s;
     while (clock::now() < until) {
-        CHECK(named());
+        CHECK(is_resolved());
         std::this_thread::sleep_for(50ms);
     }
-    CHECK(fleet.store("keys").contains("gateways/gw-2"));
+    CHECK(fleet.call_store("keys").contains("gateways/gw-2"));
 }
 
 TEST_CASE("what gateways know of crashing requests is in the store again after it lost that with an older copy")
 {
     gateway_fleet fleet;
     fleet.start_gateway(1, "d1");
-    fleet.store("copy");
-    fleet.behave({{"crash_path", "/q/deadly"}, {"down_ms", 300}});
-    fleet.ask(1, "/q/deadly", "first");
-    auto const recorded = [&] { return fleet.store("keys").contains("crash-records/gw-1"); };
-    REQUIRE(within_ten_seconds(recorded));
-    return_to_copy(fleet);
-    CHECK_FALSE(recorded());
-    CHECK(within_ten_seconds(recorded));
+    fleet.call_store("copy");
+    fleet.set_backend_behavior({{"crash_path", "/q/deadly"}, {"down_ms", 300}});
+    fleet.send_request(1, "/q/deadly", "first");
+    auto const is_recorded = [&] { return fleet.call_store("keys").contains("crash-records/gw-1"); };
+    REQUIRE(within_ten_seconds(is_recorded));
+    restore_copy(fleet);
+    CHECK_FALSE(is_recorded());
+    CHECK(within_ten_seconds(is_recorded));
 }
 
 TEST_CASE("an evacuation that the store lost with an older copy holds until operators had time to write it again")
 {
     gateway_fleet fleet;
     fleet.start_gateway(1, "d1");
-    fleet.store("copy");
-    fleet.store("put", {{"key", "op/evacuate/d1"}, {"value", json::object()}});
+    fleet.call_store("copy");
+    fleet.call_store("put", {{"key", "op/evacuate/d1"}, {"value", json::object()}});
     std::this_thread::sleep_for(500ms);
-    return_to_copy(fleet);
+    restore_copy(fleet);
     auto const from = fleet.journal().size();
     auto const until = clock::now() + 1500ms;
-    for (int asked = 0; clock::now() < until; ++asked)
-        CHECK(fleet.ask(1, "/q/a", "lost-" + std::to_string(asked)).status == 200);
-    fleet.store("put", {{"key", "op/evacuate/d1"}, {"value", json::object()}});
+    for (int sent = 0; clock::now() < until; ++sent)
+        CHECK(fleet.send_request(1, "/q/a", "lost-" + std::to_string(sent)).status == 200);
+    fleet.call_store("put", {{"key", "op/evacuate/d1"}, {"value", json::object()}});
     std::this_thread::sleep_for(2s);
-    for (int asked = 0; asked < 10; ++asked)
-        CHECK(fleet.ask(1, "/q/a", "again-" + std::to_string(asked)).status == 200);
-    auto const entries = fleet.entries();
+    for (int sent = 0; sent < 10; ++sent)
+        CHECK(fleet.send_request(1, "/q/a", "again-" + std::to_string(sent)).status == 200);
+    auto const entries = fleet.registrations();
     auto const journal = fleet.journal();
     for (auto i = from; i < journal.size(); ++i)
         CHECK(entries[journal[i]["backend"].get<std::string>()]["zone"] != "d1");
@@ -155,18 +155,18 @@
 TEST_CASE("backend servers that the store lost with an older copy are used until they had time to register again")
 {
     gateway_fleet fleet;
-    auto const entries = fleet.entries();
-    fleet.store("drop", {{"key", "servers/i-s-0"}});
-    fleet.store("drop", {{"key", "servers/i-s-1"}});
-    fleet.store("copy");
+    auto const entries = fleet.registrations();
+    fleet.call_store("drop", {{"key", "servers/i-s-0"}});
+    fleet.call_store("drop", {{"key", "servers/i-s-1"}});
+    fleet.call_store("copy");
     fleet.register_backend("i-s-0", entries["i-s-0"]);
     fleet.start_gateway(1, "d1");
-    CHECK(fleet.ask(1, "/r/a", "before").status == 200);
-    return_to_copy(fleet);
+    CHECK(fleet.send_request(1, "/r/a", "before").status == 200);
+    restore_copy(fleet);
     auto const until = clock::now() + 1500ms;
-    for (int asked = 0; clock::now() < until; ++asked)
-        CHECK(fleet.ask(1, "/r/a", "lost-" + std::to_string(asked)).status == 200);
+    for (int sent = 0; clock::now() < until; ++sent)
+        CHECK(fleet.send_request(1, "/r/a", "lost-" + std::to_string(sent)).status == 200);
     fleet.register_backend("i-s-0", entries["i-s-0"]);
     std::this_thread::sleep_for(2500ms);
-    CHECK(fleet.ask(1, "/r/a", "again").status == 200);
+    CHECK(fleet.send_request(1, "/r/a", "again").status == 200);
 }
