--- a/tests/deployment.hpp
+++ b/tests/deployment.hpp
@@ -1,4 +1,4 @@
-/** @file deployment.hpp A small deployment of real processes for the integration and failure tests. */
+/** @file deployment.hpp A small deployment of processes with an entry node, for the integration and failure tests. */
 #pragma once
 
 #include "process_fixture.hpp"
@@ -12,21 +12,21 @@
 
 namespace cornelspring::testing {
 
-/** Longest bounded wait for an entry node to reach a configuration revision. */
+/** Time within which an entry node must reach a configuration revision. */
 inline constexpr auto convergence_timeout = std::chrono::seconds(10);
-/** Timeout of one HTTP call from the test. */
+/** Time-out of an HTTP call from a test. */
 inline constexpr milliseconds call_timeout{5000};
 
-/** A small deployment: one store, three back ends holding a 3-shard service twice over, one entry node. */
+/** One store, one entry node, and three backend servers of a service with three shards; each shard has two replicas. */
 struct deployment {
     process_group processes;
-    http_client client;        ///< Caller-side client towards the entry node.
-    h2_client stand_in_client; ///< Client towards the stand-ins' fault endpoints.
+    http_client client;        ///< Client for requests of callers to the entry node.
+    h2_client stand_in_client; ///< Client for the fault and journal endpoints of the store and the backend servers.
     std::uint16_t store = 0;
     std::uint16_t entry = 0;
     std::vector<std::uint16_t> backends;
 
-    /** Starts everything; @param slots requests each back end runs at once. */
+    /** Starts all processes. @param slots number of requests that a backend server runs at the same time. */
     explicit deployment(int slots = 2)
     {
         store = processes.start("store", "cornel-store", {"--set", "listen.port=0"});
@@ -43,7 +43,8 @@
             {"--set", "id=\"e1\"", "--set", "listen.port=0", "--set", "store.address=\"" + loopback(store) + "\""});
     }
 
-    /** @return the resource file for the service and its back ends. */
+    /** @return the resource file of the service and its backend servers. @param version index version of the service.
+     */
     std::string resources(std::int64_t version) const
     {
         std::string text = "[[service]]\nname = \"svc\"\ncustomer = \"Rechtshilfe\"\nshards = 3\nindex_version = " +
@@ -56,14 +57,15 @@
         return text;
     }
 
-    /** Runs cornel-ctl against the store. @return exit status; @p output gets stdout. */
+    /** Runs cornel-ctl with the address of the store. @param output receives its standard output. @return its exit
+     * status. */
     int run_ctl(std::vector<std::string> args, std::string& output)
     {
         args.insert(args.begin(), {"--set", "store.address=\"" + loopback(store) + "\""});
         return processes.run("cornel-ctl", args, output);
     }
 
-    /** Writes @p text to a file of the run and applies it. @return ctl's exit status. */
+    /** Writes @p text to a file in the temporary folder and applies it. @return the exit status of cornel-ctl. */
     int apply_resources(std::string const& text)
     {
         std::string const file = processes.path("resources.toml");
@@ -72,7 +74,7 @@
         return run_ctl({"apply", file}, output);
     }
 
-    /** @return the result of a request to the entry node. */
+    /** Sends a request to the entry node. @return its result. */
     client_result send(std::string const& method, std::string const& path, std::string const& body)
     {
         http_request request;
@@ -83,7 +85,7 @@
         return client.call({"127.0.0.1", entry}, std::move(request), call_timeout);
     }
 
-    /** @return the entry node's configuration revision from /healthz. */
+    /** @return the entry node's configuration revision from /healthz; -1 when it does not respond or reports none. */
     std::int64_t entry_revision()
     {
         auto const result = send("GET", paths::health, "");
@@ -91,7 +93,7 @@
         return nlohmann::json::parse(result.response.body).value("config_revision", std::int64_t{-1});
     }
 
-    /** Waits (bounded) until a query of @p service is answered whole. */
+    /** Waits until the response to a query of @p service has full coverage. Fails after convergence_timeout. */
     void wait_for_full_coverage(std::string const& service = "svc")
     {
         auto const deadline = std::chrono::steady_clock::now() + convergence_timeout;
@@ -106,7 +108,7 @@
         FAIL("the entry node did not converge within 10 s");
     }
 
-    /** Sets faults of the stand-in listening on @p port. @return the HTTP status of the answer. */
+    /** Sets faults of the store or backend server that listens on @p port. @return the HTTP status of the response. */
     int set_fault(std::uint16_t port, nlohmann::json const& body)
     {
         http_request request;
@@ -116,7 +118,8 @@
         return stand_in_client.call({"127.0.0.1", port}, std::move(request), call_timeout).response.status;
     }
 
-    /** Waits (bounded) until the entry node's /healthz says it is draining. @return whether it did. */
+    /** Waits until the entry node's /healthz reports that it is draining. @return whether it did within
+     *  convergence_timeout. */
     bool wait_until_draining()
     {
         auto const deadline = std::chrono::steady_clock::now() + convergence_timeout;
--- a/tests/gateway_fixture.cpp
+++ b/tests/gateway_fixture.cpp
@@ -12,7 +12,7 @@
 
 using nlohmann::json;
 
-/** Longest wait for bytes. */
+/** Time-out of a receive call. */
 constexpr int receive_timeout_s = 5;
 
 } // namespace
@@ -145,7 +145,7 @@
 {
     std::map<std::string, std::uint16_t> const ports{
         {"frontend", 18104}, {"ready", 18108}, {"control_plane", 18106}, {"directory", 18100}};
-    // Offset by process id: several tests run at once.
+    // The address depends on the process id, since several tests run at the same time.
     return {"127." + std::to_string(getpid() / 250 % 250 + 1) + "." + std::to_string(getpid() % 250 + 1) + "." +
                 std::to_string(number),
             ports.at(what)};
@@ -183,7 +183,9 @@
 {
     bool const is_ready =
         within_ten_seconds([&] { return get(address(number, "ready"), "/cornelspring/ready").status == status; });
-    if (!is_ready) throw error(error_kind::unavailable, "gateway is not ready in time.", "Read its log.");
+    if (!is_ready)
+        throw error(error_kind::unavailable, "the gateway was not ready within ten seconds.",
+                    "Read the log of the gateway.");
 }
 
 http_response gateway_fleet::get(endpoint const& to, std::string const& path)
--- a/tests/gateway_fixture.hpp
+++ b/tests/gateway_fixture.hpp
@@ -10,62 +10,67 @@
 /** A blocking connection that sends and receives raw bytes. */
 class raw_connection {
 public:
-    /** Connects; reads and writes give up after five seconds. @param peer address. @param from own numeric address. */
+    /** Connects; receive() times out after five seconds without data. @param peer address to connect to.
+     *  @param source numeric local address of the connection. */
     explicit raw_connection(endpoint const& peer, std::string const& source = "127.0.0.1");
     ~raw_connection();
     raw_connection(raw_connection const&) = delete;
     raw_connection& operator=(raw_connection const&) = delete;
-    /** Sends @p bytes. */
     void send(std::string const& bytes);
-    /** @return one response, or nothing when the connection ended before a whole one came. */
+    /** @return the next response, or nothing when none arrived completely, in time and well-formed. */
     std::optional<http_response> receive();
 
 private:
     int m_fd;               ///< Socket.
-    std::string m_unparsed; ///< Bytes after the last response.
+    std::string m_unparsed; ///< Bytes received after the last response.
 };
 
-/** One fleet. Services: g0 to g3 (shards) and s; two backend servers each, in failure domains d1 and d2. */
+/**
+ * Gateways, one store and backend servers. Services: g0 to g3 (shards of a gather) and s, each with two backend
+ * servers, one in failure domain d1 and one in d2.
+ */
 class gateway_fleet {
 public:
     gateway_fleet();
-    /** Starts gateway @p number (1 to 9) in failure domain @p domain and waits until it is ready. */
+    /** Starts gateway @p number (1 to 9) in failure domain @p domain. @param wait whether to wait until it is ready. */
     void start_gateway(int number, std::string const& domain = "d1", bool wait = true);
-    /** Waits until gateway @p number answers the readiness question with @p status. */
+    /** Waits until the readiness endpoint of gateway @p number responds with @p status.
+     *  @throw error unavailable after ten seconds. */
     void await_ready(int number, int status = 200);
     /** @return the address of gateway @p number for @p what: frontend, ready, control_plane or directory. */
     static endpoint address(int number, char const* what);
-    /** Sends a request over a new connection from the address @p from. @return the response, or status 0 when none
-     *  came. */
+    /** Sends a request to gateway @p number over a new connection from the address @p source. @return the response; its
+     *  status is 0 when there was none. */
     http_response send_request(int number, std::string const& path, std::string const& id,
                                std::string const& method = "GET", std::string const& body = "",
                                std::string const& source = "127.0.0.1");
-    /** @return the answer of @p path at @p to. */
+    /** @return the response to a GET of @p path at @p to; its status is 0 when there was none. */
     static http_response get(endpoint const& to, std::string const& path);
-    /** Puts configuration @p version into the store, gathering over @p shards, with @p homes for all routes. */
+    /** Writes configuration @p version into the store: the gather is over @p shards, all routes have @p home_regions.
+     */
     void configure(int version, std::vector<std::string> const& shards = {"g0", "g1", "g2", "g3"},
                    std::vector<std::string> const& home_regions = {});
-    /** Calls the store's own API for tests. */
+    /** Calls the test API of the store process. @return its response. */
     nlohmann::json call_store(std::string const& path, nlohmann::json const& body = nlohmann::json::object());
-    /** Sets what backend servers do. */
+    /** Sets the behavior of backend servers, e.g. a fault mode or the time per request. */
     void set_backend_behavior(nlohmann::json const& what);
-    /** @return all that reached backend servers. */
+    /** @return the journal of all requests that reached backend servers, in order of arrival. */
     nlohmann::json journal();
-    /** @return the entries of all backend servers. */
+    /** @return the registrations of all backend servers, by id. */
     nlohmann::json registrations();
-    /** Writes an entry of a backend server. */
+    /** Writes the registration @p entry of backend server @p id into the store. */
     void register_backend(std::string const& id, nlohmann::json const& entry);
 
     process_group processes; ///< All processes.
 
 private:
-    /** Posts JSON. */
+    /** Sends a POST request with a JSON body. @return the JSON of the response; null when there was none. */
     static nlohmann::json post(endpoint const& to, std::string const& path, nlohmann::json const& body);
-    std::uint16_t m_store_port = 0;    ///< Store's port.
+    std::uint16_t m_store_port = 0;    ///< Port of the store.
     std::uint16_t m_backends_port = 0; ///< Control port of the backend servers.
 };
 
-/** @return whether @p holds came true within ten seconds. */
+/** Polls @p condition. @return whether it became true within ten seconds. */
 bool within_ten_seconds(std::function<bool()> const& condition);
 
 } // namespace cornelspring::testing
--- a/tests/process_fixture.cpp
+++ b/tests/process_fixture.cpp
@@ -1,4 +1,4 @@
-/** @file process_fixture.cpp Starting, running and stopping child processes for the integration tests. */
+/** @file process_fixture.cpp Starts, runs and stops child processes for the integration tests. */
 #include "process_fixture.hpp"
 
 #include <fcntl.h>
@@ -17,10 +17,10 @@
 namespace cornelspring::testing {
 namespace {
 
-/** Longest wait for a child to write its ready file. */
+/** Time within which a child must write its ready file. */
 constexpr auto ready_timeout = std::chrono::seconds(10);
 
-/** @return argv for posix_spawn. */
+/** @return a null-terminated argument list for posix_spawn. It points into @p program and @p args. */
 std::vector<char*> make_argv(std::string const& program, std::vector<std::string> const& args)
 {
     std::vector<char*> argv;
@@ -31,7 +31,7 @@
     return argv;
 }
 
-/** @return the exit status of @p pid after it ended. */
+/** Waits until @p pid exits. @return its exit status, or 128 plus the number of the signal that killed it. */
 int wait_exit(pid_t pid)
 {
     int status = 0;
@@ -91,8 +91,8 @@
         }
         std::this_thread::sleep_for(std::chrono::milliseconds(20));
     }
-    throw error(error_kind::unavailable, name + " did not get ready; its log: " + read_file(path(name + ".log")),
-                "Read the child's log.");
+    throw error(error_kind::unavailable, name + " was not ready in time; its log: " + read_file(path(name + ".log")),
+                "Read the log of the child process.");
 }
 
 int process_group::run(std::string const& binary, std::vector<std::string> const& args, std::string& output)
