--- a/tests/test_crashing_requests.cpp
+++ b/tests/test_crashing_requests.cpp
@@ -1,4 +1,4 @@
-/** @file test_crashing_requests.cpp Requests that crash the backend servers that run them, with real processes. */
+/** @file test_crashing_requests.cpp Requests that crash the backend servers that run them, with gateway processes. */
 #include "gateway_fixture.hpp"
 
 #include <doctest/doctest.h>
@@ -14,7 +14,7 @@
 
 namespace {
 
-/** A query that crashes every backend server that runs it. */
+/** Path of a query that crashes every backend server that runs it. */
 constexpr char const* crashing_path = "/q/deadly";
 
 /** @return the log lines of gateway @p number about request @p id. */
@@ -30,7 +30,7 @@
     return found;
 }
 
-/** @return the backend servers that the deadly query reached, by the caller's request id. */
+/** @return how many backend servers the crashing query reached, by the caller's request id. */
 std::map<std::string, int> arrivals_by_id(gateway_fleet& fleet)
 {
     std::map<std::string, int> count;
@@ -40,7 +40,7 @@
     return count;
 }
 
-/** @return how many ids in @p count begin with @p prefix. */
+/** @return how many ids in @p count start with @p prefix. */
 int ids_with_prefix(std::map<std::string, int> const& count, std::string const& prefix)
 {
     return static_cast<int>(
@@ -49,7 +49,7 @@
 
 } // namespace
 
-TEST_CASE("the log tells under which request servers closed their connections, and that another one is the same")
+TEST_CASE("the log shows which request servers closed their connections under, and an equal digest for its repetition")
 {
     gateway_fleet fleet;
     fleet.start_gateway(1);
@@ -68,16 +68,18 @@
 }
 
 /*
- * What users saw: for most of a minute no query over shards was answered, with all backend servers of the service down.
- * Order of events: a query crashed every server that began to run it, at first 38 of 40 within 0.1 s, as each gateway
- * sends it to a second server of a shard when the first is lost. The servers came back after three seconds, the same
- * caller asked the same again at another gateway, and all were gone again; 451 servers started that day.
- * Cause: an attempt under which a server closed the connection counted against the server only. Nothing was kept of the
- * request, neither for the other shards of the same query, nor for its repetitions, nor for other gateways.
- * Evidence: the log line of the first query of a wave, with 19 closed connections, no answer, and 38 servers asked, its
- * neighbours having lost a part and got answers from the rest; and this test, in which 9 of 9 repetitions got through.
+ * Guards against an outage of a whole service: for most of a minute no query over shards got a response, because all
+ * backend servers of the service were down.
+ * A query crashed every server that started to run it. At first it crashed 38 of 40 within 0.1 s, since each gateway
+ * retries a shard at a second server when the first is lost. The servers were back after three seconds, the same caller
+ * repeated the query at another gateway, and all crashed again; servers started 451 times that day.
+ * An attempt during which a server closed the connection counted only against the server. Nothing was recorded about
+ * the request: neither for the other shards of the same query, nor for its repetitions, nor for other gateways.
+ * The log line of the first query of such a wave showed 19 closed connections, no response and 38 servers with an
+ * attempt; other queries at that time lost one shard and got responses from the rest. Without the quarantine, 9 of 9
+ * repetitions in this test reach a server.
  */
-TEST_CASE("a query that crashes backend servers is known to all gateways, and kept from them from then on")
+TEST_CASE("a query that crashes backend servers becomes known to all gateways, which then reject it")
 {
     gateway_fleet fleet;
     for (int const number : {1, 2, 3})
@@ -87,11 +89,11 @@
 
     CHECK(fleet.send_request(1, crashing_path, "first").status == 502);
     wait_for_server_restarts();
-    // At most three repetitions may reach a server, whichever gateways they come to.
+    // At most three repetitions may reach a server, over all gateways.
     for (int round = 0; round < 3; ++round) {
         for (int const number : {1, 2, 3}) {
             auto const repetition = round * 3 + number;
-            // The caller may be behind another address each time; servers see only what the request says.
+            // The caller may use another address each time. A request is recognized by its contents only.
             auto const from = "127.0.0." + std::to_string(10 + repetition);
             auto const id = "again-" + std::to_string(repetition);
             CHECK(fleet.send_request(number, crashing_path, id, "GET", "", from).status >= 500);
@@ -100,21 +102,21 @@
     }
     CHECK(ids_with_prefix(arrivals_by_id(fleet), "again-") <= 3);
 
-    // A gateway that starts now has seen nothing of it itself.
+    // A gateway that starts now never received this query itself.
     fleet.start_gateway(4);
     auto const rejected = fleet.send_request(4, crashing_path, "late");
-    CHECK(rejected.status == 503); // Truly not run.
+    CHECK(rejected.status == 503); // The status promises that the request did not run.
     CHECK(rejected.header("retry-after") != "");
     CHECK(ids_with_prefix(arrivals_by_id(fleet), "late") == 0);
     CHECK(fleet.send_request(4, "/q/harmless", "other").status == 200);
 }
 
-TEST_CASE("a query that crashes backend servers is not sent on to the other servers of its shards")
+TEST_CASE("a query that crashes backend servers is not retried at the other servers of its shards")
 {
     gateway_fleet fleet;
     fleet.start_gateway(1);
     fleet.set_backend_behavior({{"crash_path", crashing_path}, {"work_ms", 30}, {"down_ms", 300}});
     CHECK(fleet.send_request(1, crashing_path, "first").status == 502);
-    // Four shards with two servers each: the first attempts, and one more to make sure.
+    // Four shards with two servers each: one attempt per shard, and at most one more to confirm the crash.
     CHECK(arrivals_by_id(fleet)["first"] <= 5);
 }
--- a/tests/test_end_to_end.cpp
+++ b/tests/test_end_to_end.cpp
@@ -1,4 +1,4 @@
-/** @file test_end_to_end.cpp Real processes on loopback: store, back ends, entry node and cornel-ctl. */
+/** @file test_end_to_end.cpp Store, backend servers, entry node and cornel-ctl as processes on loopback. */
 #include "deployment.hpp"
 
 #include <cornelspring/protocol.hpp>
@@ -14,7 +14,7 @@
 using cornelspring::testing::deployment;
 using cornelspring::testing::loopback;
 
-TEST_CASE("a query is answered from every shard at one index version")
+TEST_CASE("a query gets a response from every shard at one index version")
 {
     deployment d;
     REQUIRE(d.apply_resources(d.resources(1)) == 0);
@@ -72,16 +72,16 @@
     CHECK(d.entry_revision() == before);
 }
 
-TEST_CASE("cornel-ctl refuses a write made against a stale revision")
+TEST_CASE("cornel-ctl rejects a write against a stale revision")
 {
     deployment d;
     REQUIRE(d.apply_resources(d.resources(1)) == 0);
     std::string listing;
     REQUIRE(d.run_ctl({"get", "service", "svc"}, listing) == 0);
     auto const stale = nlohmann::json::parse(listing)["revision"].get<std::int64_t>();
-    REQUIRE(d.apply_resources(d.resources(1)) == 0); // another operator writes in between
+    REQUIRE(d.apply_resources(d.resources(1)) == 0); // Another operator writes in between.
     std::string const racing = "[[service]]\nname = \"svc\"\nshards = 3\nrevision = " + std::to_string(stale) + "\n";
-    CHECK(d.apply_resources(racing) == 3); // conflict
+    CHECK(d.apply_resources(racing) == 3); // Exit status for a conflict.
     std::string after;
     REQUIRE(d.run_ctl({"get", "service", "svc"}, after) == 0);
     CHECK(nlohmann::json::parse(after)["spec"]["customer"] == "Rechtshilfe");
@@ -100,7 +100,7 @@
     }
 }
 
-TEST_CASE("the entry list names the entry node and how long to keep it")
+TEST_CASE("the entry list has the entry node and how long callers may use it")
 {
     deployment d;
     auto const until = std::chrono::steady_clock::now() + convergence_timeout;
--- a/tests/test_failures.cpp
+++ b/tests/test_failures.cpp
@@ -1,4 +1,5 @@
-/** @file test_failures.cpp Promises under failure: planned stops, store outages, "not run". */
+/** @file test_failures.cpp Guarantees of the entry node under failures: planned stops, store outages, rejected
+ * requests. */
 #include "deployment.hpp"
 
 #include <csignal>
@@ -9,16 +10,16 @@
 
 namespace {
 
-/** Time a straggling back end holds each search: long enough that a stop happens while searches run. */
+/** Delay of each search at a slow backend server, long enough for a stop to happen while searches run. */
 constexpr std::int64_t search_delay_ms = 3000;
 /** Deadline of the queries in flight during a stop. */
 constexpr std::int64_t long_deadline_ms = 20000;
 /** Queries in flight during a stop. */
 constexpr int in_flight = 4;
-/** Slots of each back end in the stop tests: enough that no search is shed while queries are in flight. */
+/** Slots of each backend server in the stop tests, enough that no search is shed while queries are in flight. */
 constexpr int ample_slots = 16;
 
-/** Sends @p count queries without waiting; @return futures of their results. */
+/** Sends @p count queries without waiting for the responses. @return futures of their results. */
 std::vector<std::future<client_result>> send_queries(deployment& d, int count)
 {
     std::vector<std::future<client_result>> results;
@@ -39,7 +40,7 @@
     return results;
 }
 
-/** Checks that every result is a whole answer to its own request. */
+/** Checks that every result is a response to its own request with full coverage. */
 void check_complete(std::vector<std::future<client_result>>& results)
 {
     for (std::size_t i = 0; i < results.size(); ++i) {
@@ -55,7 +56,7 @@
 
 } // namespace
 
-TEST_CASE("SIGTERM on an entry node finishes the queries in flight and sends new callers elsewhere")
+TEST_CASE("an entry node finishes the queries in flight after SIGTERM and refers new callers to other entry nodes")
 {
     deployment d(ample_slots);
     REQUIRE(d.apply_resources(d.resources(1)) == 0);
@@ -63,7 +64,7 @@
     for (auto port : d.backends)
         REQUIRE(d.set_fault(port, {{"delay_ms", search_delay_ms}, {"delay_probability", 1.0}}) == 200);
     auto results = send_queries(d, in_flight);
-    std::this_thread::sleep_for(std::chrono::milliseconds(200)); // let the queries reach the back ends
+    std::this_thread::sleep_for(std::chrono::milliseconds(200)); // The queries reach the backend servers.
     auto stop_status = std::async(std::launch::async, [&d] { return d.processes.stop("entry", SIGTERM); });
     REQUIRE(d.wait_until_draining());
     auto const refused = d.send("POST", paths::query, R"({"service":"svc","query":"sea"})");
@@ -76,7 +77,7 @@
     CHECK(stop_status.get() == 0);
 }
 
-TEST_CASE("SIGTERM on an entry node finishes the writes in flight, and each ran once")
+TEST_CASE("an entry node finishes the writes in flight after SIGTERM, and each runs once")
 {
     deployment d(ample_slots);
     REQUIRE(d.apply_resources(d.resources(1)) == 0);
@@ -96,7 +97,7 @@
             return caller.call({"127.0.0.1", d.entry}, std::move(request), milliseconds(long_deadline_ms));
         }));
     }
-    std::this_thread::sleep_for(std::chrono::milliseconds(500)); // let the writes reach the back ends
+    std::this_thread::sleep_for(std::chrono::milliseconds(500)); // The writes reach the backend servers.
     CHECK(d.processes.stop("entry", SIGTERM) == 0);
     for (auto& result : results) {
         auto const sent = result.get();
@@ -118,7 +119,7 @@
         CHECK(count == 1);
 }
 
-TEST_CASE("queries stay whole while a back end is frozen by SIGSTOP, and after it wakes")
+TEST_CASE("queries have full coverage while a backend server is paused by SIGSTOP, and after it continues")
 {
     deployment d(ample_slots);
     REQUIRE(d.apply_resources(d.resources(1)) == 0);
@@ -136,12 +137,12 @@
         send_query();
 }
 
-TEST_CASE("SIGTERM on a back end finishes the searches it holds")
+TEST_CASE("a backend server finishes its searches after SIGTERM")
 {
     deployment d(ample_slots);
     REQUIRE(d.apply_resources(d.resources(1)) == 0);
     d.wait_for_full_coverage();
-    // Only b0 straggles, so the queries wait on it while it is told to stop.
+    // Only b0 is slow, so the queries wait for it when it is stopped.
     REQUIRE(d.set_fault(d.backends[0], {{"delay_ms", search_delay_ms}, {"delay_probability", 1.0}}) == 200);
     auto results = send_queries(d, 2);
     std::this_thread::sleep_for(std::chrono::milliseconds(200));
@@ -149,7 +150,7 @@
     check_complete(results);
 }
 
-TEST_CASE("queries are served through a store outage and later changes still arrive")
+TEST_CASE("queries are served during a store outage, and later changes arrive")
 {
     deployment d;
     REQUIRE(d.apply_resources(d.resources(1)) == 0);
@@ -162,7 +163,7 @@
         CHECK(parse_message<query_answer>(result.response.body, "answer").coverage == doctest::Approx(1.0));
         CHECK(d.entry_revision() >= before);
     }
-    // During the outage the write is refused; once it ends, it goes through and reaches the entry node.
+    // During the outage the store rejects the write. After it, the write succeeds and reaches the entry node.
     std::ofstream(d.processes.path("route.toml"))
         << "[[route]]\nname = \"r\"\ncustomer = \"Rechtshilfe\"\nservice = \"svc\"\n";
     auto const until = std::chrono::steady_clock::now() + cornelspring::testing::convergence_timeout;
@@ -180,7 +181,7 @@
     CHECK(d.entry_revision() >= applied);
 }
 
-TEST_CASE("a query refused as not run reached no back end")
+TEST_CASE("a query that is rejected as not run reached no backend server")
 {
     deployment d;
     REQUIRE(d.apply_resources(d.resources(1)) == 0);
--- a/tests/test_gateway_placement.cpp
+++ b/tests/test_gateway_placement.cpp
@@ -1,4 +1,5 @@
-/** @file test_gateway_placement.cpp Homes and evacuations at the gateway process, against the platform on loopback. */
+/** @file test_gateway_placement.cpp Home regions and evacuations, with gateways, a store and backend servers as
+ * processes. */
 #include "gateway_fixture.hpp"
 
 #include <doctest/doctest.h>
@@ -13,7 +14,8 @@
 
 namespace {
 
-/** The journal's entries from the @p from-th on that reached servers of failure domain @p domain. */
+/** @return the number of requests in the journal, starting at index @p from, that reached backend servers in failure
+ *  domain @p domain. */
 int requests_in_domain(gateway_fleet& fleet, std::size_t from, std::string const& domain)
 {
     auto const entries = fleet.registrations();
@@ -24,7 +26,7 @@
     return found;
 }
 
-/** Asks for answers of both kinds. @return how many were successes. */
+/** Sends five queries and five single requests to gateway @p gateway. @return how many succeeded. */
 int send_ten(gateway_fleet& fleet, int gateway, std::string const& id_prefix)
 {
     int succeeded = 0;
@@ -37,7 +39,8 @@
 
 } // namespace
 
-TEST_CASE("an evacuated failure domain gets nothing, also from a gateway that starts later, until it is taken back")
+TEST_CASE("an evacuated failure domain gets no requests, also from a gateway that starts later, until the evacuation "
+          "is removed")
 {
     gateway_fleet fleet;
     fleet.start_gateway(1, "d1");
@@ -58,7 +61,7 @@
     }));
 }
 
-TEST_CASE("a route with homes is served there alone, while the store is away too")
+TEST_CASE("a route with home regions is served only there, also during a store outage")
 {
     gateway_fleet fleet;
     fleet.start_gateway(1, "d1");
--- a/tests/test_gateway_process.cpp
+++ b/tests/test_gateway_process.cpp
@@ -1,4 +1,5 @@
-/** @file test_gateway_process.cpp The gateway as a process, against the platform played on loopback, under faults. */
+/** @file test_gateway_process.cpp The gateway process with a store and backend servers on loopback, also under faults.
+ */
 #include "gateway_fixture.hpp"
 
 #include "shard_server.hpp"
@@ -15,7 +16,7 @@
 
 namespace {
 
-/** @return the answer that shards @p services together give to request @p id. */
+/** @return the merged response of the shards @p services to request @p id: its @p top highest records. */
 std::string expected_records(std::vector<std::string> const& services, std::string const& id, std::size_t top)
 {
     std::vector<std::string> records;
@@ -31,7 +32,7 @@
     return out;
 }
 
-/** @return how often requests with id @p id ran, according to @p journal. */
+/** @return how often backend servers ran a request with id @p id, according to @p journal. */
 int run_count(json const& journal, std::string const& id)
 {
     int count = 0;
@@ -40,7 +41,7 @@
     return count;
 }
 
-/** All shards. */
+/** Services that the gather of the fixture's configuration covers. */
 std::vector<std::string> const shards = {"g0", "g1", "g2", "g3"};
 
 } // namespace
@@ -68,7 +69,7 @@
     CHECK(metrics.body.find("cornel_gateway_requests_total") != std::string::npos);
 }
 
-TEST_CASE("connections to the servers of all shards are there before the first query")
+TEST_CASE("connections to the servers of all shards are opened before the first query")
 {
     gateway_fleet fleet;
     fleet.start_gateway(1);
@@ -83,7 +84,7 @@
     CHECK(opened_connections() == 8);
 }
 
-TEST_CASE("a gateway that is ready names an address from the first moment on")
+TEST_CASE("a gateway responds to address queries as soon as it is ready")
 {
     gateway_fleet fleet;
     fleet.start_gateway(1, "d1", false);
@@ -99,7 +100,7 @@
     CHECK(asked == 50);
 }
 
-TEST_CASE("whatever a backend server sends, a caller gets its own whole answer or a failure")
+TEST_CASE("a caller gets the complete response to its own request or a failure, whatever a backend server sends")
 {
     struct row {
         char const* mode;
@@ -139,7 +140,7 @@
         CHECK(run_count(journal, id) <= 1);
 }
 
-TEST_CASE("a refused write has not run, and one that ran is never called refused")
+TEST_CASE("a write that is reported as rejected did not run, and one that ran is not reported as rejected")
 {
     gateway_fleet fleet;
     fleet.start_gateway(1);
@@ -154,7 +155,7 @@
     CHECK(run_count(fleet.journal(), "id-2") == 1);
 }
 
-TEST_CASE("callers that break the protocol are refused, and nothing of theirs reaches a backend server")
+TEST_CASE("requests that break the protocol or a limit are rejected and do not reach a backend server")
 {
     gateway_fleet fleet;
     fleet.start_gateway(1);
@@ -183,7 +184,8 @@
     CHECK(fleet.journal().empty());
 }
 
-TEST_CASE("a stopping gateway finishes what it has, takes in no idle connection's cut, and is not named")
+TEST_CASE(
+    "a stopping gateway finishes its requests, announces the close of connections, and is not in address responses")
 {
     gateway_fleet fleet;
     fleet.start_gateway(1);
@@ -207,13 +209,13 @@
     CHECK(response->header("connection") == "close");
     CHECK(within_ten_seconds(
         [&] { return resolve(2).find(gateway_fleet::address(1, "frontend").to_string()) == std::string::npos; }));
-    // Callers that still have its address are served until shortly before its time is up.
+    // Callers that still use its address are served until shortly before the end of the platform's grace time.
     CHECK(fleet.send_request(1, "/q/a", "id-2").status == 200);
     stopping.join();
     CHECK(fleet.send_request(1, "/q/a", "id-3").status == 0);
 }
 
-TEST_CASE("a gateway that was killed is named no longer than its registration lives")
+TEST_CASE("a killed gateway is in address responses no longer than its registration lives")
 {
     gateway_fleet fleet;
     fleet.start_gateway(1);
@@ -228,12 +230,12 @@
     REQUIRE(within_ten_seconds([&] { return resolve(1).find(killed_address) != std::string::npos; }));
     REQUIRE(within_ten_seconds([&] { return resolve(3).find(killed_address) != std::string::npos; }));
     fleet.processes.stop("gw-2", SIGKILL);
-    std::this_thread::sleep_for(7500ms); // The lease of 6 s, and the way of its end over the feed.
+    std::this_thread::sleep_for(7500ms); // The lease of 6 s, and the time until its expiry arrives over the feed.
     for (int const asked : {1, 3})
         CHECK(resolve(asked).find(killed_address) == std::string::npos);
 }
 
-TEST_CASE("through a store outage gateways serve on, and learn what changed after it")
+TEST_CASE("gateways serve during a store outage and receive the changes after it")
 {
     gateway_fleet fleet;
     fleet.start_gateway(1);
@@ -247,7 +249,7 @@
     }));
 }
 
-TEST_CASE("a gateway that starts while the store is away learns everything from another")
+TEST_CASE("a gateway that starts during a store outage reads its state from another gateway")
 {
     gateway_fleet fleet;
     fleet.start_gateway(1);
@@ -256,7 +258,7 @@
     CHECK(fleet.send_request(2, "/q/a", "id-1").body == expected_records(shards, "id-1", 4));
 }
 
-TEST_CASE("only one gateway of a failure domain watches the store, and the others learn changes from it in time")
+TEST_CASE("only one gateway of a failure domain watches the store, and the others receive changes from it in time")
 {
     gateway_fleet fleet;
     for (int number = 1; number <= 4; ++number)
@@ -274,8 +276,9 @@
     CHECK(clock::now() - changed_at < 1500ms);
     std::this_thread::sleep_for(3s);
     auto const watches = fleet.call_store("calls")["/cornelspring/kv-watch"].get<int>() - before;
-    CHECK(watches <= 5); // One VM, 1.5 s each; four VMs made four times as many.
-    // The one that reads the store dies: the others find the next at once.
+    CHECK(watches <= 5); // One gateway makes a watch every 1.5 s. When each of the four watched the store, there were
+                         // four times as many.
+    // The gateway that reads the store is killed; another one must replace it at once.
     fleet.processes.stop("gw-1", SIGKILL);
     fleet.configure(3, {"g2", "g3"});
     CHECK(within_ten_seconds([&] {
@@ -283,7 +286,7 @@
     }));
 }
 
-TEST_CASE("a change is named in the log of the gateway that watches the store, and counted in those of the others")
+TEST_CASE("a change is logged in full by the gateway that watches the store, and as a count by the others")
 {
     gateway_fleet fleet;
     auto const lines = [&fleet](int number, std::string const& part) {
@@ -295,9 +298,9 @@
     };
     for (int const number : {1, 2, 3})
         fleet.start_gateway(number);
-    std::this_thread::sleep_for(2s); // The others follow the first one by now.
+    std::this_thread::sleep_for(2s); // Afterwards the others follow the first one.
     for (int const number : {1, 2, 3}) {
-        CHECK(lines(number, R"("event":"backend")") == 0); // A full read is counted.
+        CHECK(lines(number, R"("event":"backend")") == 0); // A full read is logged as counts.
         CHECK(lines(number, R"("event":"learned")") >= 1);
     }
     auto entry = fleet.registrations()["i-s-0"];
@@ -311,7 +314,7 @@
     }
 }
 
-TEST_CASE("entries that lapse in a store outage are used on until they are back, also by followers")
+TEST_CASE("registrations that lapse in a store outage stay in use until they return, also at followers")
 {
     gateway_fleet fleet;
     fleet.start_gateway(1);
@@ -330,14 +333,15 @@
             CHECK(fleet.send_request(number, "/r/a", "id-" + std::to_string(++asked)).status == 200);
         std::this_thread::sleep_for(100ms);
     }
-    // One returns, the other is still missing after that time, and is gone.
+    // One server registers again. The other is still missing after the time allowed for it and is removed.
     fleet.register_backend("i-s-0", entries["i-s-0"]);
     std::this_thread::sleep_for(2500ms);
     CHECK(fleet.send_request(2, "/r/a", "id-last").status == 200);
     CHECK(fleet.journal().back()["backend"] == "i-s-0");
 }
 
-TEST_CASE("a gateway that the store turns away tries to register less and less often, and soon after its return")
+TEST_CASE(
+    "a gateway backs off its registration while the store rejects it, and registers soon after the store recovers")
 {
     gateway_fleet fleet;
     fleet.start_gateway(1);
@@ -353,14 +357,14 @@
     fleet.call_store("fault", {{"mode", "busy"}});
     auto const before = registration_calls();
     std::this_thread::sleep_for(6s);
-    CHECK(registration_calls() - before <= 7); // One each 0.4 s made 10 and more.
+    CHECK(registration_calls() - before <= 7); // Without backoff, one attempt every 0.4 s made 10 or more.
     fleet.call_store("fault", {{"mode", "ok"}});
     auto const calls_at_recovery = registration_calls();
     std::this_thread::sleep_for(2s);
     CHECK(registration_calls() > calls_at_recovery);
 }
 
-TEST_CASE("a watch that hears nothing does not keep a configuration back")
+TEST_CASE("a watch that reports no changes does not delay a configuration")
 {
     gateway_fleet fleet;
     fleet.start_gateway(1);
@@ -375,7 +379,7 @@
     CHECK(clock::now() - changed_at < 2500ms);
 }
 
-TEST_CASE("draining and removed backend servers get no new work, and another server at the address runs nothing")
+TEST_CASE("draining and removed backend servers get no new requests, and another server at the same address runs none")
 {
     gateway_fleet fleet;
     fleet.start_gateway(1);
@@ -392,15 +396,15 @@
     for (int i = 0; i < 10; ++i)
         CHECK(fleet.send_request(1, "/r/a", "id-" + std::to_string(i)).status == 200);
     CHECK(count("i-s-0") == 0);
-    std::this_thread::sleep_for(1s); // Shortly after the news, a draining server may still help when no other can.
-    // The other one's address goes to a server of another service.
+    std::this_thread::sleep_for(1s); // Only shortly after it started to drain may a server be used as a last resort.
+    // A server of another service now listens at the address of the other replica.
     fleet.set_backend_behavior({{"backend", "i-s-1"}, {"rename", "i-other-7"}});
     auto const refused = fleet.send_request(1, "/w/a", "id-w", "POST", "x");
     CHECK(run_count(fleet.journal(), "id-w") == 0);
     CHECK(refused.status == 503);
 }
 
-TEST_CASE("a backend server that starts again under its id is new, and entries of other writers disturb nobody")
+TEST_CASE("a backend server that restarts under its id is treated as new, and invalid registrations have no effect")
 {
     gateway_fleet fleet;
     fleet.start_gateway(1);
@@ -426,7 +430,7 @@
     wait_for_feed();
     CHECK(send_ten_reads() == 10);
     CHECK(count("i-s-0") == 0);
-    // Its new start takes work at once; a late entry of the old one changes nothing.
+    // It restarts and gets requests at once. A late registration of its previous start has no effect.
     entry = healthy;
     entry["born"] = 3000;
     entry["seq"] = 1;
@@ -439,7 +443,7 @@
     CHECK(send_ten_reads() == 10);
     int const before = count("i-s-0");
     CHECK(before > 0);
-    // Another writer: one entry that cannot be read, for a known server, and one for nobody.
+    // Another program writes two invalid registrations: one for a known server and one for an unknown id.
     entry["state"] = 5;
     fleet.register_backend("i-s-0", entry);
     fleet.register_backend("i-nobody", json::array({1, 2}));
@@ -450,7 +454,7 @@
     CHECK(fleet.send_request(1, "/q/a", "id-q").body == expected_records(shards, "id-q", 4));
 }
 
-TEST_CASE("a caller that leaves takes its work along")
+TEST_CASE("requests of a caller that closed its connection are canceled")
 {
     gateway_fleet fleet;
     fleet.start_gateway(1);
@@ -461,10 +465,10 @@
         std::this_thread::sleep_for(100ms);
     }
     std::this_thread::sleep_for(1s);
-    CHECK(run_count(fleet.journal(), "id-1") == 1); // Not retried or hedged after the caller had left.
+    CHECK(run_count(fleet.journal(), "id-1") == 1); // No retry or hedge after the caller closed its connection.
 }
 
-TEST_CASE("a gateway that stood still does not take its own pause for a queue at the backend servers")
+TEST_CASE("a gateway that was paused does not mistake its own pause for a queue at the backend servers")
 {
     gateway_fleet fleet;
     fleet.start_gateway(1);
--- a/tests/test_restored_store.cpp
+++ b/tests/test_restored_store.cpp
@@ -1,4 +1,4 @@
-/** @file test_restored_store.cpp The store comes back from an older copy: gateways as processes on loopback. */
+/** @file test_restored_store.cpp The store is restored from an older copy, with gateways as processes on loopback. */
 #include "gateway_fixture.hpp"
 
 #include <doctest/doctest.h>
@@ -13,7 +13,7 @@
 
 namespace {
 
-/** The store is away, and back with what it held when the last copy was made. */
+/** Makes the store unavailable for the time @p outage, then restores the last copy of it. */
 void restore_copy(gateway_fleet& fleet, std::chrono::milliseconds outage = 700ms)
 {
     fleet.call_store("fault", {{"mode", "busy"}});
@@ -22,7 +22,7 @@
     fleet.call_store("fault", {{"mode", "ok"}});
 }
 
-/** @return whether gateway @p number answers queries over @p shards shards. */
+/** @return whether gateway @p number serves a query over @p shards shards. */
 bool serves_shards(gateway_fleet& fleet, int number, std::size_t shards)
 {
     static int sent = 0;
@@ -33,19 +33,20 @@
     return response.status == 200 && parts + std::stoul(missing.empty() ? "0" : missing) == shards;
 }
 
-/** Configures until the store's revision is that of the copy and @p more. */
+/** Writes @p count configurations, starting with version @p first_version, each of which advances the store's revision.
+ */
 void configure_repeatedly(gateway_fleet& fleet, int first_version, int count)
 {
     for (int i = 0; i < count; ++i)
         fleet.configure(first_version + i, {"g0", "g1"});
 }
 
-/** How soon a configuration is to be in force after its acknowledgement. */
+/** Time within which a configuration must be in force after the store acknowledged it. */
 constexpr auto max_apply_time = 3000ms;
 
 } // namespace
 
-TEST_CASE("a configuration acknowledged after the store came back from an older copy is in force at every gateway")
+TEST_CASE("a configuration acknowledged after the store was restored from an older copy is in force at every gateway")
 {
     gateway_fleet fleet;
     fleet.start_gateway(1, "d1");
@@ -71,7 +72,7 @@
     }
 }
 
-TEST_CASE("a gateway that restarts or is cut off while the store returns to a copy learns what comes after")
+TEST_CASE("a gateway that restarts or is paused while the store is restored from a copy receives later changes")
 {
     gateway_fleet fleet;
     fleet.start_gateway(1, "d1");
@@ -95,7 +96,8 @@
     CHECK(clock::now() - acknowledged_at < max_apply_time + 1s);
 }
 
-TEST_CASE("what a gateway wrote and the store lost with an older copy is there again, and it stays named meanwhile")
+TEST_CASE(
+    "a registration that a restored store lost is written again, and its gateway stays in address responses meanwhile")
 {
     gateway_fleet fleet;
     fleet.start_gateway(1, "d1");
@@ -116,7 +118,7 @@
     CHECK(fleet.call_store("keys").contains("gateways/gw-2"));
 }
 
-TEST_CASE("what gateways know of crashing requests is in the store again after it lost that with an older copy")
+TEST_CASE("records of crashing requests that a restored store lost are written again")
 {
     gateway_fleet fleet;
     fleet.start_gateway(1, "d1");
@@ -130,7 +132,7 @@
     CHECK(within_ten_seconds(is_recorded));
 }
 
-TEST_CASE("an evacuation that the store lost with an older copy holds until operators had time to write it again")
+TEST_CASE("an evacuation that a restored store lost stays in force until operators had time to write it again")
 {
     gateway_fleet fleet;
     fleet.start_gateway(1, "d1");
@@ -152,7 +154,7 @@
         CHECK(entries[journal[i]["backend"].get<std::string>()]["zone"] != "d1");
 }
 
-TEST_CASE("backend servers that the store lost with an older copy are used until they had time to register again")
+TEST_CASE("backend servers that a restored store lost stay in use until they had time to register again")
 {
     gateway_fleet fleet;
     auto const entries = fleet.registrations();
