--- a/tests/gateway_fixture.cpp
+++ b/tests/gateway_fixture.cpp
@@ -100,7 +100,10 @@
     return post({"127.0.0.1", m_store_port}, "/stand-in/" + path, body);
 }
 
-void gateway_fleet::set_backend_behavior(json const& what) { post({"127.0.0.1", m_backends_port}, "/behave", what); }
+void gateway_fleet::set_backend_behavior(json const& behavior)
+{
+    post({"127.0.0.1", m_backends_port}, "/behave", behavior);
+}
 json gateway_fleet::journal() { return post({"127.0.0.1", m_backends_port}, "/journal", json::object()); }
 json gateway_fleet::registrations() { return post({"127.0.0.1", m_backends_port}, "/entries", json::object()); }
 
@@ -141,21 +144,21 @@
     call_store("put", {{"key", "op/config"}, {"value", config}});
 }
 
-endpoint gateway_fleet::address(int number, char const* what)
+endpoint gateway_fleet::address(int number, char const* purpose)
 {
     std::map<std::string, std::uint16_t> const ports{
         {"frontend", 18104}, {"ready", 18108}, {"control_plane", 18106}, {"directory", 18100}};
     // The address depends on the process id, since several tests run at the same time.
     return {"127." + std::to_string(getpid() / 250 % 250 + 1) + "." + std::to_string(getpid() % 250 + 1) + "." +
                 std::to_string(number),
-            ports.at(what)};
+            ports.at(purpose)};
 }
 
 void gateway_fleet::start_gateway(int number, std::string const& domain, bool wait)
 {
     json addresses;
-    for (char const* what : {"frontend", "ready", "control_plane", "directory"})
-        addresses[what] = address(number, what).to_string();
+    for (char const* purpose : {"frontend", "ready", "control_plane", "directory"})
+        addresses[purpose] = address(number, purpose).to_string();
     json const settings{{"node_name", "gw-" + std::to_string(number)},
                         {"ip", address(number, "ready").host},
                         {"zone", domain},
--- a/tests/gateway_fixture.hpp
+++ b/tests/gateway_fixture.hpp
@@ -37,8 +37,8 @@
     /** Waits until the readiness endpoint of gateway @p number responds with @p status.
      *  @throw error unavailable after ten seconds. */
     void await_ready(int number, int status = 200);
-    /** @return the address of gateway @p number for @p what: frontend, ready, control_plane or directory. */
-    static endpoint address(int number, char const* what);
+    /** @return the address of gateway @p number for @p purpose: frontend, ready, control_plane or directory. */
+    static endpoint address(int number, char const* purpose);
     /** Sends a request to gateway @p number over a new connection from the address @p source. @return the response; its
      *  status is 0 when there was none. */
     http_response send_request(int number, std::string const& path, std::string const& id,
@@ -53,7 +53,7 @@
     /** Calls the test API of the store process. @return its response. */
     nlohmann::json call_store(std::string const& path, nlohmann::json const& body = nlohmann::json::object());
     /** Sets the behavior of backend servers, e.g. a fault mode or the time per request. */
-    void set_backend_behavior(nlohmann::json const& what);
+    void set_backend_behavior(nlohmann::json const& behavior);
     /** @return the journal of all requests that reached backend servers, in order of arrival. */
     nlohmann::json journal();
     /** @return the registrations of all backend servers, by id. */
--- a/tests/test_failures.cpp
+++ b/tests/test_failures.cpp
@@ -67,10 +67,10 @@
     std::this_thread::sleep_for(std::chrono::milliseconds(200)); // The queries reach the backend servers.
     auto stop_status = std::async(std::launch::async, [&d] { return d.processes.stop("entry", SIGTERM); });
     REQUIRE(d.wait_until_draining());
-    auto const refused = d.send("POST", paths::query, R"({"service":"svc","query":"sea"})");
-    CHECK(refused.response.status == 503);
-    CHECK_FALSE(refused.response.header("retry-after").empty());
-    auto const body = nlohmann::json::parse(refused.response.body);
+    auto const rejected = d.send("POST", paths::query, R"({"service":"svc","query":"sea"})");
+    CHECK(rejected.response.status == 503);
+    CHECK_FALSE(rejected.response.header("retry-after").empty());
+    auto const body = nlohmann::json::parse(rejected.response.body);
     CHECK(body["error"] == "not_run");
     CHECK(body.contains("entries"));
     check_complete(results);
--- a/tests/test_gateway_process.cpp
+++ b/tests/test_gateway_process.cpp
@@ -88,16 +88,16 @@
 {
     gateway_fleet fleet;
     fleet.start_gateway(1, "d1", false);
-    int asked = 0;
+    int sent = 0;
     auto const until = clock::now() + 5s;
-    while (clock::now() < until && asked < 50) {
+    while (clock::now() < until && sent < 50) {
         if (fleet.get(gateway_fleet::address(1, "ready"), "/cornelspring/ready").status != 200) continue;
-        ++asked;
+        ++sent;
         auto const response = fleet.get(gateway_fleet::address(1, "directory"), "/cornelspring/resolve?name=h.example");
         REQUIRE(response.status == 200);
         CHECK(json::parse(response.body)["addrs"].size() == 1);
     }
-    CHECK(asked == 50);
+    CHECK(sent == 50);
 }
 
 TEST_CASE("a caller gets the complete response to its own request or a failure, whatever a backend server sends")
@@ -145,9 +145,9 @@
     gateway_fleet fleet;
     fleet.start_gateway(1);
     fleet.set_backend_behavior({{"service", "s"}, {"mode", "shed"}});
-    auto const refused = fleet.send_request(1, "/w/a", "id-1", "POST", "x");
-    CHECK(refused.status == 503);
-    CHECK(refused.header("retry-after") != "");
+    auto const rejected = fleet.send_request(1, "/w/a", "id-1", "POST", "x");
+    CHECK(rejected.status == 503);
+    CHECK(rejected.header("retry-after") != "");
     CHECK(run_count(fleet.journal(), "id-1") == 0);
     fleet.set_backend_behavior({{"service", "s"}, {"mode", "silent_run"}});
     std::this_thread::sleep_for(200ms);
@@ -190,8 +190,8 @@
     gateway_fleet fleet;
     fleet.start_gateway(1);
     fleet.start_gateway(2, "d2");
-    auto const resolve = [&](int asked) {
-        return gateway_fleet::get(gateway_fleet::address(asked, "directory"),
+    auto const resolve = [&](int number) {
+        return gateway_fleet::get(gateway_fleet::address(number, "directory"),
                                   "/cornelspring/resolve?name=h.example&region=r-d1&zone=d1")
             .body;
     };
@@ -221,8 +221,8 @@
     fleet.start_gateway(1);
     fleet.start_gateway(2);
     fleet.start_gateway(3, "d2");
-    auto const resolve = [](int asked) {
-        return gateway_fleet::get(gateway_fleet::address(asked, "directory"),
+    auto const resolve = [](int number) {
+        return gateway_fleet::get(gateway_fleet::address(number, "directory"),
                                   "/cornelspring/resolve?name=h.example&region=r-d1&zone=d1")
             .body;
     };
@@ -231,8 +231,8 @@
     REQUIRE(within_ten_seconds([&] { return resolve(3).find(killed_address) != std::string::npos; }));
     fleet.processes.stop("gw-2", SIGKILL);
     std::this_thread::sleep_for(7500ms); // The lease of 6 s, and the time until its expiry arrives over the feed.
-    for (int const asked : {1, 3})
-        CHECK(resolve(asked).find(killed_address) == std::string::npos);
+    for (int const number : {1, 3})
+        CHECK(resolve(number).find(killed_address) == std::string::npos);
 }
 
 TEST_CASE("gateways serve during a store outage and receive the changes after it")
@@ -327,10 +327,10 @@
         fleet.call_store("drop", {{"key", std::string("servers/") + id}});
     fleet.call_store("fault", {{"mode", "ok"}});
     auto const recovered_at = clock::now();
-    int asked = 0;
+    int sent = 0;
     while (clock::now() < recovered_at + 1800ms) {
         for (int const number : {1, 2})
-            CHECK(fleet.send_request(number, "/r/a", "id-" + std::to_string(++asked)).status == 200);
+            CHECK(fleet.send_request(number, "/r/a", "id-" + std::to_string(++sent)).status == 200);
         std::this_thread::sleep_for(100ms);
     }
     // One server registers again. The other is still missing after the time allowed for it and is removed.
@@ -399,9 +399,9 @@
     std::this_thread::sleep_for(1s); // Only shortly after it started to drain may a server be used as a last resort.
     // A server of another service now listens at the address of the other replica.
     fleet.set_backend_behavior({{"backend", "i-s-1"}, {"rename", "i-other-7"}});
-    auto const refused = fleet.send_request(1, "/w/a", "id-w", "POST", "x");
+    auto const rejected = fleet.send_request(1, "/w/a", "id-w", "POST", "x");
     CHECK(run_count(fleet.journal(), "id-w") == 0);
-    CHECK(refused.status == 503);
+    CHECK(rejected.status == 503);
 }
 
 TEST_CASE("a backend server that restarts under its id is treated as new, and invalid registrations have no effect")
@@ -415,11 +415,11 @@
             found += each["backend"] == backend ? 1 : 0;
         return found;
     };
-    int asked = 0;
+    int sent = 0;
     auto const send_ten_reads = [&] {
         int succeeded = 0;
         for (int i = 0; i < 10; ++i)
-            succeeded += fleet.send_request(1, "/r/a", "id-" + std::to_string(++asked)).status == 200 ? 1 : 0;
+            succeeded += fleet.send_request(1, "/r/a", "id-" + std::to_string(++sent)).status == 200 ? 1 : 0;
         return succeeded;
     };
     auto const healthy = fleet.registrations()["i-s-0"];
@@ -481,7 +481,7 @@
         return connection;
     };
     int succeeded = 0;
-    int asked = 0;
+    int sent = 0;
     for (int round = 0; round < 5; ++round) {
         auto const before = send("before-" + std::to_string(round));
         std::this_thread::sleep_for(20ms);
@@ -493,11 +493,11 @@
         fleet.processes.stop("gw-1", SIGCONT);
         for (auto const& each : sent_during_pause) {
             auto const response = each->receive();
-            ++asked;
+            ++sent;
             succeeded += response && response->status == 200 ? 1 : 0;
         }
         before->receive();
         std::this_thread::sleep_for(200ms);
     }
-    CHECK(succeeded == asked);
+    CHECK(succeeded == sent);
 }
