--- a/tests/test_crashing_requests.cpp
+++ b/tests/test_crashing_requests.cpp
@@ -76,8 +76,8 @@
  * An attempt during which a server closed the connection counted only against the server. Nothing was recorded about
  * the request: neither for the other shards of the same query, nor for its repetitions, nor for other gateways.
  * The log line of the first query of such a wave showed 19 closed connections, no response and 38 servers with an
- * attempt; other queries at that time lost one shard and got responses from the rest. Without the quarantine, 9 of 9
- * repetitions in this test reach a server.
+ * attempt; other queries at that time lost one shard and got responses from the rest. Before requests were
+ * quarantined, 9 of 9 repetitions in this test reached a server.
  */
 TEST_CASE("a query that crashes backend servers becomes known to all gateways, which then reject it")
 {
--- a/tests/test_failures.cpp
+++ b/tests/test_failures.cpp
@@ -64,7 +64,7 @@
     for (auto port : d.backends)
         REQUIRE(d.set_fault(port, {{"delay_ms", search_delay_ms}, {"delay_probability", 1.0}}) == 200);
     auto results = send_queries(d, in_flight);
-    std::this_thread::sleep_for(std::chrono::milliseconds(200)); // The queries reach the backend servers.
+    std::this_thread::sleep_for(std::chrono::milliseconds(200)); // Time for the queries to reach the backend servers.
     auto stop_status = std::async(std::launch::async, [&d] { return d.processes.stop("entry", SIGTERM); });
     REQUIRE(d.wait_until_draining());
     auto const rejected = d.send("POST", paths::query, R"({"service":"svc","query":"sea"})");
@@ -97,7 +97,7 @@
             return caller.call({"127.0.0.1", d.entry}, std::move(request), milliseconds(long_deadline_ms));
         }));
     }
-    std::this_thread::sleep_for(std::chrono::milliseconds(500)); // The writes reach the backend servers.
+    std::this_thread::sleep_for(std::chrono::milliseconds(500)); // Time for the writes to reach the backend servers.
     CHECK(d.processes.stop("entry", SIGTERM) == 0);
     for (auto& result : results) {
         auto const sent = result.get();
@@ -163,7 +163,7 @@
         CHECK(parse_message<query_answer>(result.response.body, "answer").coverage == doctest::Approx(1.0));
         CHECK(d.entry_revision() >= before);
     }
-    // During the outage the store rejects the write. After it, the write succeeds and reaches the entry node.
+    // During the outage the write fails. After it, the write succeeds and reaches the entry node.
     std::ofstream(d.processes.path("route.toml"))
         << "[[route]]\nname = \"r\"\ncustomer = \"Rechtshilfe\"\nservice = \"svc\"\n";
     auto const until = std::chrono::steady_clock::now() + cornelspring::testing::convergence_timeout;
--- a/tests/test_gateway_placement.cpp
+++ b/tests/test_gateway_placement.cpp
@@ -39,8 +39,7 @@
 
 } // namespace
 
-TEST_CASE("an evacuated failure domain gets no requests, also from a gateway that starts later, until the evacuation "
-          "is removed")
+TEST_CASE("an evacuated failure domain gets no requests until the evacuation is removed, also from a new gateway")
 {
     gateway_fleet fleet;
     fleet.start_gateway(1, "d1");
--- a/tests/test_gateway_process.cpp
+++ b/tests/test_gateway_process.cpp
@@ -275,9 +275,9 @@
     }
     CHECK(clock::now() - changed_at < 1500ms);
     std::this_thread::sleep_for(3s);
+    // One gateway makes a watch every 1.5 s. When all four watched the store, there were four times as many.
     auto const watches = fleet.call_store("calls")["/cornelspring/kv-watch"].get<int>() - before;
-    CHECK(watches <= 5); // One gateway makes a watch every 1.5 s. When each of the four watched the store, there were
-                         // four times as many.
+    CHECK(watches <= 5);
     // The gateway that reads the store is killed; another one must replace it at once.
     fleet.processes.stop("gw-1", SIGKILL);
     fleet.configure(3, {"g2", "g3"});
@@ -298,7 +298,7 @@
     };
     for (int const number : {1, 2, 3})
         fleet.start_gateway(number);
-    std::this_thread::sleep_for(2s); // Afterwards the others follow the first one.
+    std::this_thread::sleep_for(2s); // Time for the others to become followers of the first one.
     for (int const number : {1, 2, 3}) {
         CHECK(lines(number, R"("event":"backend")") == 0); // A full read is logged as counts.
         CHECK(lines(number, R"("event":"learned")") >= 1);
@@ -320,7 +320,7 @@
     fleet.start_gateway(1);
     fleet.start_gateway(2);
     auto const entries = fleet.registrations();
-    std::this_thread::sleep_for(1s); // The second gateway follows the first.
+    std::this_thread::sleep_for(1s); // Time for the second gateway to become a follower of the first.
     fleet.call_store("fault", {{"mode", "silent"}});
     std::this_thread::sleep_for(4500ms);
     for (char const* id : {"i-s-0", "i-s-1"})
@@ -396,7 +396,7 @@
     for (int i = 0; i < 10; ++i)
         CHECK(fleet.send_request(1, "/r/a", "id-" + std::to_string(i)).status == 200);
     CHECK(count("i-s-0") == 0);
-    std::this_thread::sleep_for(1s); // Only shortly after it started to drain may a server be used as a last resort.
+    std::this_thread::sleep_for(1s); // A server may be a last resort only shortly after it started to drain.
     // A server of another service now listens at the address of the other replica.
     fleet.set_backend_behavior({{"backend", "i-s-1"}, {"rename", "i-other-7"}});
     auto const rejected = fleet.send_request(1, "/w/a", "id-w", "POST", "x");
