--- a/tests/test_failures.cpp
+++ b/tests/test_failures.cpp
@@ -1,4 +1,5 @@
-/** @file test_failures.cpp Promises under failure: planned stops, store outages, "not run". */
+/** @file test_failures.cpp Guarantees of the entry node under failures: planned stops, store outages, rejected
+ * requests. */
 #include "deployment.hpp"
 
 #include <csignal>
@@ -9,17 +10,17 @@
 
 namespace {
 
-/** Time a straggling back end holds each search: long enough that a stop happens while searches run. */
-constexpr std::int64_t straggle_ms = 3000;
+/** Delay of each search at a slow backend server, long enough for a stop to happen while searches run. */
+constexpr std::int64_t search_delay_ms = 3000;
 /** Deadline of the queries in flight during a stop. */
 constexpr std::int64_t long_deadline_ms = 20000;
 /** Queries in flight during a stop. */
 constexpr int in_flight = 4;
-/** Slots of each back end in the stop tests: enough that no search is shed while queries are in flight. */
-constexpr int roomy_slots = 16;
+/** Slots of each backend server in the stop tests, enough that no search is shed while queries are in flight. */
+constexpr int ample_slots = 16;
 
-/** Sends @p count queries without waiting; @return futures of their results. */
-std::vector<std::future<client_result>> send_many(deployment& d, int count)
+/** Sends @p count queries without waiting for the responses. @return futures of their results. */
+std::vector<std::future<client_result>> send_queries(deployment& d, int count)
 {
     std::vector<std::future<client_result>> results;
     for (int i = 0; i < count; ++i) {
@@ -39,50 +40,50 @@
     return results;
 }
 
-/** Checks that every result is a whole answer to its own request. */
-void check_whole(std::vector<std::future<client_result>>& results)
+/** Checks that every result is a response to its own request with full coverage. */
+void check_complete(std::vector<std::future<client_result>>& results)
 {
     for (std::size_t i = 0; i < results.size(); ++i) {
         auto const result = results[i].get();
         CAPTURE(i);
         REQUIRE(result.outcome == send_outcome::answered);
         REQUIRE(result.response.status == 200);
-        auto const answer = parse_message<query_response>(result.response.body, "answer");
-        CHECK(answer.request_id == "stop-" + std::to_string(i));
-        CHECK(answer.coverage == doctest::Approx(1.0));
+        auto const response = parse_message<query_response>(result.response.body, "answer");
+        CHECK(response.request_id == "stop-" + std::to_string(i));
+        CHECK(response.coverage == doctest::Approx(1.0));
     }
 }
 
 } // namespace
 
-TEST_CASE("SIGTERM on an entry node finishes the queries in flight and sends new callers elsewhere")
+TEST_CASE("an entry node finishes the queries in flight after SIGTERM and refers new callers to other entry nodes")
 {
-    deployment d(roomy_slots);
-    REQUIRE(d.apply(d.resources(1)) == 0);
-    d.wait_until_whole();
+    deployment d(ample_slots);
+    REQUIRE(d.apply_resources(d.resources(1)) == 0);
+    d.wait_for_full_coverage();
     for (auto port : d.backends)
-        REQUIRE(d.fault(port, {{"delay_ms", straggle_ms}, {"delay_probability", 1.0}}) == 200);
-    auto results = send_many(d, in_flight);
-    std::this_thread::sleep_for(std::chrono::milliseconds(200)); // let the queries reach the back ends
-    auto stopped = std::async(std::launch::async, [&d] { return d.group.stop("entry", SIGTERM); });
+        REQUIRE(d.set_fault(port, {{"delay_ms", search_delay_ms}, {"delay_probability", 1.0}}) == 200);
+    auto results = send_queries(d, in_flight);
+    std::this_thread::sleep_for(std::chrono::milliseconds(200)); // Time for the queries to reach the backend servers.
+    auto stop_status = std::async(std::launch::async, [&d] { return d.processes.stop("entry", SIGTERM); });
     REQUIRE(d.wait_until_draining());
-    auto const refused = d.send("POST", paths::query, R"({"service":"svc","query":"sea"})");
-    CHECK(refused.response.status == 503);
-    CHECK_FALSE(refused.response.header("retry-after").empty());
-    auto const body = nlohmann::json::parse(refused.response.body);
+    auto const rejected = d.send("POST", paths::query, R"({"service":"svc","query":"sea"})");
+    CHECK(rejected.response.status == 503);
+    CHECK_FALSE(rejected.response.header("retry-after").empty());
+    auto const body = nlohmann::json::parse(rejected.response.body);
     CHECK(body["error"] == "not_run");
     CHECK(body.contains("entries"));
-    check_whole(results);
-    CHECK(stopped.get() == 0);
+    check_complete(results);
+    CHECK(stop_status.get() == 0);
 }
 
-TEST_CASE("SIGTERM on an entry node finishes the writes in flight, and each ran once")
+TEST_CASE("an entry node finishes the writes in flight after SIGTERM, and each runs once")
 {
-    deployment d(roomy_slots);
-    REQUIRE(d.apply(d.resources(1)) == 0);
-    d.wait_until_whole();
+    deployment d(ample_slots);
+    REQUIRE(d.apply_resources(d.resources(1)) == 0);
+    d.wait_for_full_coverage();
     for (auto port : d.backends)
-        REQUIRE(d.fault(port, {{"delay_ms", 1500}, {"delay_probability", 1.0}}) == 200);
+        REQUIRE(d.set_fault(port, {{"delay_ms", 1500}, {"delay_probability", 1.0}}) == 200);
     std::vector<std::future<client_result>> results;
     for (int i = 0; i < in_flight; ++i) {
         results.push_back(std::async(std::launch::async, [&d, i] {
@@ -96,80 +97,80 @@
             return caller.call({"127.0.0.1", d.entry}, std::move(request), milliseconds(long_deadline_ms));
         }));
     }
-    std::this_thread::sleep_for(std::chrono::milliseconds(500)); // let the writes reach the back ends
-    CHECK(d.group.stop("entry", SIGTERM) == 0);
+    std::this_thread::sleep_for(std::chrono::milliseconds(500)); // Time for the writes to reach the backend servers.
+    CHECK(d.processes.stop("entry", SIGTERM) == 0);
     for (auto& result : results) {
-        auto const reply = result.get();
-        REQUIRE(reply.outcome == send_outcome::answered);
-        CHECK(reply.response.status == 200);
+        auto const sent = result.get();
+        REQUIRE(sent.outcome == send_outcome::answered);
+        CHECK(sent.response.status == 200);
     }
-    std::map<std::string, int> runs;
+    std::map<std::string, int> run_counts;
     for (auto port : d.backends) {
         http_request request;
         request.path = paths::journal;
-        auto const reply = d.peers.call({"127.0.0.1", port}, std::move(request), milliseconds(5000));
-        auto const journal = nlohmann::json::parse(reply.response.body);
+        auto const result = d.stand_in_client.call({"127.0.0.1", port}, std::move(request), milliseconds(5000));
+        auto const journal = nlohmann::json::parse(result.response.body);
         for (auto const& entry : journal["entries"]) {
-            if (entry["write"] == true && entry["event"] == "ran") ++runs[entry["id"]];
+            if (entry["write"] == true && entry["event"] == "ran") ++run_counts[entry["id"]];
         }
     }
-    CHECK(runs.size() == in_flight);
-    for (auto const& [key, count] : runs)
+    CHECK(run_counts.size() == in_flight);
+    for (auto const& [key, count] : run_counts)
         CHECK(count == 1);
 }
 
-TEST_CASE("queries stay whole while a back end is frozen by SIGSTOP, and after it wakes")
+TEST_CASE("queries have full coverage while a backend server is paused by SIGSTOP, and after it continues")
 {
-    deployment d(roomy_slots);
-    REQUIRE(d.apply(d.resources(1)) == 0);
-    d.wait_until_whole();
-    auto const ask = [&d] {
+    deployment d(ample_slots);
+    REQUIRE(d.apply_resources(d.resources(1)) == 0);
+    d.wait_for_full_coverage();
+    auto const send_query = [&d] {
         auto const result = d.send("POST", paths::query, R"({"service":"svc","query":"sea","deadline_ms":4000})");
         REQUIRE(result.response.status == 200);
         CHECK(parse_message<query_response>(result.response.body, "answer").coverage == doctest::Approx(1.0));
     };
-    d.group.stop("b0", SIGSTOP);
+    d.processes.stop("b0", SIGSTOP);
     for (int i = 0; i < 10; ++i)
-        ask();
-    d.group.stop("b0", SIGCONT);
+        send_query();
+    d.processes.stop("b0", SIGCONT);
     for (int i = 0; i < 10; ++i)
-        ask();
+        send_query();
 }
 
-TEST_CASE("SIGTERM on a back end finishes the searches it holds")
+TEST_CASE("a backend server finishes its searches after SIGTERM")
 {
-    deployment d(roomy_slots);
-    REQUIRE(d.apply(d.resources(1)) == 0);
-    d.wait_until_whole();
-    // Only b0 straggles, so the queries wait on it while it is told to stop.
-    REQUIRE(d.fault(d.backends[0], {{"delay_ms", straggle_ms}, {"delay_probability", 1.0}}) == 200);
-    auto results = send_many(d, 2);
+    deployment d(ample_slots);
+    REQUIRE(d.apply_resources(d.resources(1)) == 0);
+    d.wait_for_full_coverage();
+    // Only b0 is slow, so the queries wait for it when it is stopped.
+    REQUIRE(d.set_fault(d.backends[0], {{"delay_ms", search_delay_ms}, {"delay_probability", 1.0}}) == 200);
+    auto results = send_queries(d, 2);
     std::this_thread::sleep_for(std::chrono::milliseconds(200));
-    CHECK(d.group.stop("b0", SIGTERM) == 0);
-    check_whole(results);
+    CHECK(d.processes.stop("b0", SIGTERM) == 0);
+    check_complete(results);
 }
 
-TEST_CASE("queries are served through a store outage and later changes still arrive")
+TEST_CASE("queries are served during a store outage, and later changes arrive")
 {
     deployment d;
-    REQUIRE(d.apply(d.resources(1)) == 0);
-    d.wait_until_whole();
+    REQUIRE(d.apply_resources(d.resources(1)) == 0);
+    d.wait_for_full_coverage();
     auto const before = d.entry_revision();
-    REQUIRE(d.fault(d.store, {{"outage_ms", 2000}}) == 200);
+    REQUIRE(d.set_fault(d.store, {{"outage_ms", 2000}}) == 200);
     for (int i = 0; i < 5; ++i) {
         auto const result = d.send("POST", paths::query, R"({"service":"svc","query":"sea"})");
         REQUIRE(result.response.status == 200);
         CHECK(parse_message<query_response>(result.response.body, "answer").coverage == doctest::Approx(1.0));
         CHECK(d.entry_revision() >= before);
     }
-    // During the outage the write is refused; once it ends, it goes through and reaches the entry node.
-    std::ofstream(d.group.path("route.toml"))
+    // During the outage the write fails. After it, the write succeeds and reaches the entry node.
+    std::ofstream(d.processes.path("route.toml"))
         << "[[route]]\nname = \"r\"\ncustomer = \"Rechtshilfe\"\nservice = \"svc\"\n";
-    auto const until = std::chrono::steady_clock::now() + cornelspring::testing::converge_wait;
+    auto const until = std::chrono::steady_clock::now() + cornelspring::testing::convergence_timeout;
     std::string output;
     int status = -1;
     while (status != 0 && std::chrono::steady_clock::now() < until) {
-        status = d.ctl({"apply", d.group.path("route.toml")}, output);
+        status = d.run_ctl({"apply", d.processes.path("route.toml")}, output);
         if (status != 0) std::this_thread::sleep_for(std::chrono::milliseconds(100));
     }
     REQUIRE(status == 0);
@@ -180,13 +181,13 @@
     CHECK(d.entry_revision() >= applied);
 }
 
-TEST_CASE("a query refused as not run reached no back end")
+TEST_CASE("a query that is rejected as not run reached no backend server")
 {
     deployment d;
-    REQUIRE(d.apply(d.resources(1)) == 0);
-    d.wait_until_whole();
+    REQUIRE(d.apply_resources(d.resources(1)) == 0);
+    d.wait_for_full_coverage();
     for (auto const* name : {"b0", "b1", "b2"})
-        d.group.stop(name, SIGKILL);
+        d.processes.stop(name, SIGKILL);
     auto const result = d.send("POST", paths::query, R"({"service":"svc","query":"sea"})");
     REQUIRE(result.outcome == send_outcome::answered);
     CHECK(result.response.status == 503);
