--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -48,7 +48,7 @@
     """Starts the service's back ends, several to a process; returns (name, port, shards) of each."""
     service, shards, replicas, slots, connections = spec["service"]
     layout = [[shard] for shard in range(shards) for _ in range(replicas)]
-    found = []
+    backends = []
     for first in range(0, len(layout), BACKENDS_PER_PROCESS):
         part = layout[first:first + BACKENDS_PER_PROCESS]
         name = f"be{first // BACKENDS_PER_PROCESS}"
@@ -56,8 +56,8 @@
             "name": json.dumps(name), "service": json.dumps(service), "shard_count": shards, "slots": slots,
             "max_connections": connections, "work_ms": float(spec["work_ms"]), "corpus.max_documents": 4000,
             "instances": json.dumps([",".join(map(str, held)) for held in part])})
-        found += [(f"{name}-{i}", port, part[i]) for i, port in enumerate(ports)]
-    return found
+        backends += [(f"{name}-{i}", port, part[i]) for i, port in enumerate(ports)]
+    return backends
 
 
 def apply_resources(fleet, spec, store, backends):
--- a/src/backend/backend_service.cpp
+++ b/src/backend/backend_service.cpp
@@ -9,9 +9,9 @@
 /** Most journal entries kept. */
 constexpr std::size_t journal_limit = 500000;
 /** How often a waiting job looks whether its caller is still there. */
-constexpr milliseconds cancel_check{2};
+constexpr milliseconds cancel_poll_interval{2};
 /** What a garbled answer holds. */
-constexpr char const* garbled_body = "\x01\x02 not what was asked for";
+constexpr char const* malformed_body = "\x01\x02 not what was asked for";
 
 /** @return the name of @p event in the journal. */
 char const* event_name(journal_event event)
@@ -25,9 +25,9 @@
 }
 
 /** @return a 503 that says the request did not run. */
-http_response refusal(std::string const& why, bool draining)
+http_response not_run_response(std::string const& reason, bool draining)
 {
-    auto response = error_response(error(error_kind::not_run, why, "Send it to another replica or come back later."),
+    auto response = error_response(error(error_kind::not_run, reason, "Send it to another replica or come back later."),
                                    shed_retry_after_s);
     if (draining) response.headers.push_back({draining_header, "1"});
     return response;
@@ -39,10 +39,10 @@
     : m_config(std::move(config)), m_corpus(corpus), m_started(clock::now()),
       m_random(std::hash<std::string>{}(m_config.name))
 {
-    for (auto const& version : m_config.holding)
+    for (auto const& version : m_config.versions)
         load_version(version);
     for (std::size_t i = 0; i < m_config.slots; ++i)
-        m_workers.emplace_back([this] { work(); });
+        m_workers.emplace_back([this] { run_worker(); });
 }
 
 backend_service::~backend_service()
@@ -56,7 +56,7 @@
         worker.join();
 }
 
-void backend_service::load_version(version_holding const& version)
+void backend_service::load_version(held_version const& version)
 {
     for (auto shard : version.shards) {
         auto index = std::make_shared<shard_index const>(m_corpus, shard, version.index_version, version.shard_count);
@@ -78,7 +78,7 @@
     return found == m_indexes.end() ? nullptr : found->second;
 }
 
-void backend_service::begin_drain()
+void backend_service::start_drain()
 {
     std::lock_guard lock(m_mutex);
     m_faults.draining = true;
@@ -96,12 +96,12 @@
     return {m_journal.begin(), m_journal.end()};
 }
 
-bool backend_service::chance(double probability)
+bool backend_service::draw_chance(double probability)
 {
     return probability > 0 && std::uniform_real_distribution<double>(0, 1)(m_random) < probability;
 }
 
-void backend_service::note(journal_event event, job const& task)
+void backend_service::append_journal(journal_event event, job const& task)
 {
     journal_entry entry;
     entry.event = event;
@@ -122,20 +122,20 @@
     } else if (request.path == paths::shard_write && is_post) {
         write(request, std::move(reply));
     } else if (request.path == paths::health || request.path == paths::backend_load) {
-        reply(health_json());
+        reply(health_response());
     } else if (request.path == paths::journal) {
-        reply(journal_json());
+        reply(journal_response());
     } else if (request.path == paths::fault && is_post) {
-        reply(set_faults_json(nlohmann::json::parse(request.body, nullptr, false)));
+        reply(handle_fault_request(nlohmann::json::parse(request.body, nullptr, false)));
     } else if (request.path == paths::load_version && is_post) {
-        reply(change_versions(nlohmann::json::parse(request.body, nullptr, false)));
+        reply(handle_versions_request(nlohmann::json::parse(request.body, nullptr, false)));
     } else {
         reply(error_response(
             error(error_kind::not_found, "no back-end API at '" + request.path + "'.", "Use POST /v1/shard/search.")));
     }
 }
 
-http_response backend_service::health_json() const
+http_response backend_service::health_response() const
 {
     std::lock_guard lock(m_mutex);
     bool const draining = m_faults.draining && !m_faults.health_lies;
@@ -146,7 +146,7 @@
     return json_response(draining ? 503 : 200, body.dump());
 }
 
-http_response backend_service::journal_json() const
+http_response backend_service::journal_response() const
 {
     nlohmann::json list = nlohmann::json::array();
     for (auto const& entry : journal()) {
@@ -160,7 +160,7 @@
     return json_response(200, nlohmann::json{{"entries", list}}.dump());
 }
 
-http_response backend_service::set_faults_json(nlohmann::json const& body)
+http_response backend_service::handle_fault_request(nlohmann::json const& body)
 {
     if (!body.is_object()) {
         return error_response(error(error_kind::bad_request, "fault body is not a JSON object.",
@@ -179,14 +179,14 @@
     return json_response(200, R"({"ok":true})");
 }
 
-http_response backend_service::change_versions(nlohmann::json const& body)
+http_response backend_service::handle_versions_request(nlohmann::json const& body)
 {
     if (body.is_object() && body.contains("drop")) {
         drop_version(body["drop"].get<std::int64_t>());
         return json_response(200, R"({"ok":true})");
     }
     try {
-        version_holding version;
+        held_version version;
         body.at("index_version").get_to(version.index_version);
         body.at("shard_count").get_to(version.shard_count);
         body.at("shards").get_to(version.shards);
@@ -211,8 +211,8 @@
                                  "' at index version " + std::to_string(query.index_version);
         {
             std::lock_guard lock(m_mutex);
-            note(journal_event::received, task);
-            note(journal_event::refused, task);
+            append_journal(journal_event::received, task);
+            append_journal(journal_event::refused, task);
         }
         task.reply(error_response(error(error_kind::conflict, m_config.name + " does not hold " + what + ".",
                                         "Send it to a replica that holds this shard and version.")));
@@ -237,38 +237,38 @@
     auto const now = clock::now();
     task.deadline = now + milliseconds(deadline_ms > 0 ? deadline_ms : max_deadline_ms);
     std::unique_lock lock(m_mutex);
-    note(journal_event::received, task);
+    append_journal(journal_event::received, task);
     bool const draining = m_faults.draining;
-    if (draining || m_busy >= m_config.slots || chance(m_faults.shed_probability)) {
-        note(journal_event::refused, task);
+    if (draining || m_busy >= m_config.slots || draw_chance(m_faults.shed_probability)) {
+        append_journal(journal_event::refused, task);
         lock.unlock();
-        task.reply(refusal(m_config.name + (draining ? " is draining and takes no new work." : " has no free slot."),
-                           draining));
+        task.reply(not_run_response(
+            m_config.name + (draining ? " is draining and takes no new work." : " has no free slot."), draining));
         return;
     }
     ++m_busy;
     double const spread = std::uniform_real_distribution<double>(0.5, 1.5)(m_random);
-    task.pause_ms = static_cast<std::int64_t>(m_config.work_ms * spread);
-    if (chance(m_faults.delay_probability)) task.pause_ms += m_faults.delay_ms;
-    if (now - m_started < milliseconds(m_config.cold_start_ms)) task.pause_ms += m_config.cold_extra_ms;
-    task.garble = !task.is_write && chance(m_faults.garble_probability);
-    task.lose_reply = chance(m_faults.lost_reply_probability);
+    task.work_duration_ms = static_cast<std::int64_t>(m_config.work_ms * spread);
+    if (draw_chance(m_faults.delay_probability)) task.work_duration_ms += m_faults.delay_ms;
+    if (now - m_started < milliseconds(m_config.cold_start_ms)) task.work_duration_ms += m_config.cold_extra_ms;
+    task.send_malformed = !task.is_write && draw_chance(m_faults.garble_probability);
+    task.lose_response = draw_chance(m_faults.lost_reply_probability);
     m_jobs.push_back(std::move(task));
     lock.unlock();
     m_ready.notify_one();
 }
 
-bool backend_service::pause(job const& task, time_point started)
+bool backend_service::simulate_work(job const& task, time_point started)
 {
-    auto const until = std::min(task.deadline, started + milliseconds(task.pause_ms));
+    auto const until = std::min(task.deadline, started + milliseconds(task.work_duration_ms));
     while (clock::now() < until) {
         if (task.request.is_cancelled()) return false;
-        std::this_thread::sleep_until(std::min(until, clock::now() + cancel_check));
+        std::this_thread::sleep_until(std::min(until, clock::now() + cancel_poll_interval));
     }
     return !task.request.is_cancelled();
 }
 
-void backend_service::work()
+void backend_service::run_worker()
 {
     while (true) {
         std::unique_lock lock(m_mutex);
@@ -283,28 +283,28 @@
 
 void backend_service::run(job& task)
 {
-    bool const wanted = pause(task, clock::now());
+    bool const caller_waiting = simulate_work(task, clock::now());
     bool const in_time = clock::now() < task.deadline;
     http_response response;
-    if (!wanted || !in_time) {
+    if (!caller_waiting || !in_time) {
         response = error_response(error(error_kind::timeout, "the deadline passed or the caller left before the end.",
                                         "Give the request a longer deadline."));
     } else if (task.is_write) {
         response = json_response(200, nlohmann::json{{"ran", task.write.idempotency_key}}.dump());
     } else {
-        response = task.garble ? json_response(200, garbled_body) : search_answer(task);
+        response = task.send_malformed ? json_response(200, malformed_body) : search_response(task);
     }
     {
         // The slot is free and the journal complete before the answer leaves, so a caller that has the answer
         // finds it in the journal.
         std::lock_guard lock(m_mutex);
-        if (wanted && in_time) note(journal_event::ran, task);
+        if (caller_waiting && in_time) append_journal(journal_event::ran, task);
         --m_busy;
     }
-    if (!task.lose_reply) task.reply(std::move(response));
+    if (!task.lose_response) task.reply(std::move(response));
 }
 
-http_response backend_service::search_answer(job const& task) const
+http_response backend_service::search_response(job const& task) const
 {
     auto const& query = task.query;
     shard_answer answer;
--- a/src/backend/backend_service.hpp
+++ b/src/backend/backend_service.hpp
@@ -16,7 +16,7 @@
 namespace cornelspring {
 
 /** One index version as a back end holds it. */
-struct version_holding {
+struct held_version {
     std::int64_t index_version = 1;   ///< Version.
     std::int32_t shard_count = 1;     ///< Shards the index is cut into at this version.
     std::vector<std::int32_t> shards; ///< Shards held.
@@ -24,13 +24,13 @@
 
 /** What a back end holds and how many requests it runs at once. */
 struct backend_config {
-    std::string name;                     ///< Name reported in answers.
-    std::string service;                  ///< Service whose shards it holds.
-    std::vector<version_holding> holding; ///< Versions held at the start; more come by load_version().
-    std::size_t slots = 2;                ///< Requests run at once; more are shed with 503.
-    double work_ms = 0;                   ///< Mean time one request takes, on top of the search itself.
-    std::int64_t cold_start_ms = 0;       ///< Time after the start during which requests take longer.
-    std::int64_t cold_extra_ms = 0;       ///< How much longer.
+    std::string name;                   ///< Name reported in answers.
+    std::string service;                ///< Service whose shards it holds.
+    std::vector<held_version> versions; ///< Versions held at the start; more come by load_version().
+    std::size_t slots = 2;              ///< Requests run at once; more are shed with 503.
+    double work_ms = 0;                 ///< Mean time one request takes, on top of the search itself.
+    std::int64_t cold_start_ms = 0;     ///< Time after the start during which requests take longer.
+    std::int64_t cold_extra_ms = 0;     ///< How much longer.
 };
 
 /** Faults set through POST /v1/fault. */
@@ -75,11 +75,11 @@
     /** Handles one request. @param request request. @param reply answer sink. */
     void handle(http_request const& request, reply_fn reply);
     /** Marks the back end as draining: new searches are refused. */
-    void begin_drain();
+    void start_drain();
     /** Sets the faults in force. @param faults faults. */
     void set_faults(backend_faults const& faults);
     /** Builds the indexes of another version. @param version what to hold. */
-    void load_version(version_holding const& version);
+    void load_version(held_version const& version);
     /** Drops the indexes of a version. @param index_version version. */
     void drop_version(std::int64_t index_version);
     /** @return a copy of the journal. Thread-safe. */
@@ -90,26 +90,26 @@
 
     /** A request waiting for a worker. */
     struct job {
-        shard_query query;         ///< What to search (searches).
-        shard_write write;         ///< What to run (writes).
-        bool is_write = false;     ///< Write, else search.
-        index_ptr index;           ///< Index searched; kept alive while the job waits.
-        http_request request;      ///< Carries the cancel flag.
-        time_point deadline;       ///< When the caller gives up.
-        reply_fn reply;            ///< Answer sink.
-        std::int64_t pause_ms = 0; ///< Time to spend before the work.
-        bool garble = false;       ///< Answer with wrong bytes.
-        bool lose_reply = false;   ///< Run, then never answer.
+        shard_query query;                 ///< What to search (searches).
+        shard_write write;                 ///< What to run (writes).
+        bool is_write = false;             ///< Write, else search.
+        index_ptr index;                   ///< Index searched; kept alive while the job waits.
+        http_request request;              ///< Carries the cancel flag.
+        time_point deadline;               ///< When the caller gives up.
+        reply_fn reply;                    ///< Answer sink.
+        std::int64_t work_duration_ms = 0; ///< Time to spend before the work.
+        bool send_malformed = false;       ///< Answer with wrong bytes.
+        bool lose_response = false;        ///< Run, then never answer.
     };
 
     /** Body of a worker: runs admitted jobs until the stop. */
-    void work();
+    void run_worker();
     /** Runs one job and answers it. */
     void run(job& task);
     /** @return the answer to a search. */
-    http_response search_answer(job const& task) const;
+    http_response search_response(job const& task) const;
     /** Sleeps for the job's pause. @return false when the caller gave it up meanwhile. */
-    static bool pause(job const& task, time_point started);
+    static bool simulate_work(job const& task, time_point started);
     /** Reads a search request and admits it. */
     void search(http_request const& request, reply_fn reply);
     /** Reads a write request and admits it. */
@@ -117,19 +117,19 @@
     /** Takes a free slot for @p task, or refuses it. */
     void admit(job task);
     /** Handles POST /v1/fault. */
-    http_response set_faults_json(nlohmann::json const& body);
+    http_response handle_fault_request(nlohmann::json const& body);
     /** Handles POST /v1/versions: loads or drops an index version. */
-    http_response change_versions(nlohmann::json const& body);
+    http_response handle_versions_request(nlohmann::json const& body);
     /** @return the journal as JSON. */
-    http_response journal_json() const;
+    http_response journal_response() const;
     /** @return what /healthz and /v1/load say, true or not. */
-    http_response health_json() const;
+    http_response health_response() const;
     /** @return the index of a shard at a version, or null. */
     index_ptr find_index(std::int64_t version, std::int32_t shard) const;
     /** @return true with the given probability. */
-    bool chance(double probability);
+    bool draw_chance(double probability);
     /** Adds a line to the journal; m_mutex is held. */
-    void note(journal_event event, job const& task);
+    void append_journal(journal_event event, job const& task);
 
     backend_config m_config;                                              ///< Limits.
     std::vector<document> const& m_corpus;                                ///< Documents.
--- a/src/backend/corpus_index.cpp
+++ b/src/backend/corpus_index.cpp
@@ -46,8 +46,8 @@
 
 std::int32_t shard_of(std::uint64_t doc, std::int64_t version, std::int32_t shard_count)
 {
-    auto const mixed = std::hash<std::string>{}(std::to_string(doc) + "/" + std::to_string(version));
-    return static_cast<std::int32_t>(mixed % static_cast<std::size_t>(shard_count));
+    auto const hash_value = std::hash<std::string>{}(std::to_string(doc) + "/" + std::to_string(version));
+    return static_cast<std::int32_t>(hash_value % static_cast<std::size_t>(shard_count));
 }
 
 shard_index::shard_index(std::vector<document> const& corpus, std::int32_t shard, std::int64_t version,
--- a/src/backend/main.cpp
+++ b/src/backend/main.cpp
@@ -69,7 +69,7 @@
     backend_config out;
     out.name = name;
     out.service = config.text("service");
-    version_holding held;
+    held_version held;
     held.shard_count = static_cast<std::int32_t>(config.integer("shard_count"));
     if (shards.empty()) {
         throw error(error_kind::bad_settings, "back end '" + name + "' holds no shard.",
@@ -84,7 +84,7 @@
     }
     for (auto version : config.integer_list("index_versions")) {
         held.index_version = version;
-        out.holding.push_back(held);
+        out.versions.push_back(held);
     }
     out.slots = static_cast<std::size_t>(config.integer("slots"));
     out.work_ms = config.floating("work_ms");
@@ -127,7 +127,7 @@
     if (!config.text("ready_file").empty()) write_file_atomic(config.text("ready_file"), ports);
     wait_for_stop_signal();
     for (auto const& item : running)
-        item->service.begin_drain();
+        item->service.start_drain();
     std::size_t left = 0;
     for (auto const& item : running)
         left += item->server.drain(milliseconds(config.integer("drain_ms")));
--- a/src/store/kv_store.cpp
+++ b/src/store/kv_store.cpp
@@ -76,20 +76,20 @@
         auto lease = m_leases.find(it->second.lease);
         if (lease != m_leases.end()) lease->second.keys.erase(key);
     }
-    key_value gone;
-    gone.key = key;
-    gone.mod_revision = open_revision();
-    record({true, gone});
+    key_value deleted;
+    deleted.key = key;
+    deleted.mod_revision = open_revision();
+    record({true, deleted});
     m_data.erase(it);
 }
 
 std::int64_t kv_store::remove(std::string const& key, std::string const& range_end)
 {
-    auto const doomed = range(key, range_end);
-    for (auto const& kv : doomed)
+    auto const matching = range(key, range_end);
+    for (auto const& kv : matching)
         erase_key(kv.key);
     m_revision_open = false;
-    return static_cast<std::int64_t>(doomed.size());
+    return static_cast<std::int64_t>(matching.size());
 }
 
 bool kv_store::holds(compare const& c) const
@@ -144,9 +144,9 @@
     return result;
 }
 
-std::int64_t kv_store::grant(std::int64_t ttl_s, time_point now, std::int64_t wanted)
+std::int64_t kv_store::grant(std::int64_t ttl_s, time_point now, std::int64_t requested_id)
 {
-    std::int64_t const id = wanted != 0 ? wanted : m_next_lease++;
+    std::int64_t const id = requested_id != 0 ? requested_id : m_next_lease++;
     auto& lease = m_leases[id];
     lease.ttl_s = ttl_s;
     lease.expiry = now + std::chrono::seconds(ttl_s);
@@ -175,7 +175,7 @@
     m_revision_open = false;
 }
 
-void kv_store::renew_all(time_point now)
+void kv_store::renew_all_leases(time_point now)
 {
     for (auto& [id, lease] : m_leases)
         lease.expiry = now + std::chrono::seconds(lease.ttl_s);
--- a/src/store/kv_store.hpp
+++ b/src/store/kv_store.hpp
@@ -38,16 +38,16 @@
 
     /**
      * Grants a lease. @param ttl_s time to live in seconds. @param now present time.
-     * @param wanted id asked for, or 0 to pick one. @return the lease id.
+     * @param requested_id id asked for, or 0 to pick one. @return the lease id.
      */
-    std::int64_t grant(std::int64_t ttl_s, time_point now, std::int64_t wanted);
+    std::int64_t grant(std::int64_t ttl_s, time_point now, std::int64_t requested_id);
     /** Renews lease @p id at @p now. @return its ttl in seconds. @throw error not_found when it lapsed. */
     std::int64_t keepalive(std::int64_t id, time_point now);
     /** Ends lease @p id and deletes its keys. */
     void revoke(std::int64_t id);
     /** Gives every lease its whole time to live again, as after a time in which the store was away. @param now present
      *  time. */
-    void renew_all(time_point now);
+    void renew_all_leases(time_point now);
     /** Ends every lease whose time ran out before @p now. @return the ids ended. */
     std::vector<std::int64_t> expire(time_point now);
 
--- a/src/store/store_service.cpp
+++ b/src/store/store_service.cpp
@@ -7,7 +7,7 @@
 /** Longest a watch waits before answering with no events. */
 constexpr milliseconds default_watch_wait{5000};
 /** How long a lost reply is held: longer than any client waits, so the client sees no answer. */
-constexpr milliseconds lost_reply_hold{120000};
+constexpr milliseconds lost_response_hold{120000};
 /** Seconds a client should wait during an outage before calling again. */
 constexpr int outage_retry_after_s = 1;
 
@@ -26,14 +26,14 @@
 
 nlohmann::json store_service::header() const
 {
-    return {{"cluster_id", std::to_string(m_cluster)}, {"revision", std::to_string(m_store.revision())}};
+    return {{"cluster_id", std::to_string(m_cluster_id)}, {"revision", std::to_string(m_store.revision())}};
 }
 
 void store_service::restore(time_point now)
 {
     m_store = m_copy;
-    m_store.renew_all(now);
-    ++m_cluster;
+    m_store.renew_all_leases(now);
+    ++m_cluster_id;
 }
 
 nlohmann::json store_service::dispatch(std::string const& path, nlohmann::json const& body, time_point now,
@@ -93,7 +93,7 @@
         reply(vm_list(request, now));
         return;
     }
-    if (now < m_faults.outage_until || refused(request.path)) {
+    if (now < m_faults.outage_until || refused_by_fault(request.path)) {
         reply(error_response(error(error_kind::unavailable, "the store is in an outage.", "Call again later."),
                              outage_retry_after_s));
         return;
@@ -121,14 +121,14 @@
         watch.deadline = now + std::min(wait, default_watch_wait);
         watch.reply = std::move(reply);
         m_watches.push_back(std::move(watch));
-        answer_watches(now);
+        respond_to_watches(now);
         return;
     }
     bool is_write = false;
     try {
-        auto answer = dispatch(request.path, body, now, is_write);
-        send(std::move(reply), json_response(200, answer.dump()), is_write, now);
-        if (is_write) answer_watches(now);
+        auto result = dispatch(request.path, body, now, is_write);
+        send(std::move(reply), json_response(200, result.dump()), is_write, now);
+        if (is_write) respond_to_watches(now);
     } catch (error const& failure) {
         reply(error_response(failure));
     } catch (nlohmann::json::exception const& failure) {
@@ -139,13 +139,13 @@
     }
 }
 
-bool store_service::refused(std::string const& path)
+bool store_service::refused_by_fault(std::string const& path)
 {
-    m_skipped = false;
+    m_write_skips_faults = false;
     if (path == store_paths::range || path == store_paths::watch) return false;
     if (m_faults.skip_writes > 0) {
         --m_faults.skip_writes;
-        m_skipped = true;
+        m_write_skips_faults = true;
         return false;
     }
     if (m_faults.refuse_writes == 0) return false;
@@ -155,19 +155,19 @@
 
 void store_service::send(reply_fn reply, http_response response, bool is_write, time_point now)
 {
-    if (is_write && !m_skipped && m_faults.lose_replies > 0) {
+    if (is_write && !m_write_skips_faults && m_faults.lose_replies > 0) {
         --m_faults.lose_replies;
-        m_held.push_back({now + lost_reply_hold, std::move(reply), std::move(response)});
+        m_delayed.push_back({now + lost_response_hold, std::move(reply), std::move(response)});
         return;
     }
     if (m_faults.delay.count() > 0) {
-        m_held.push_back({now + m_faults.delay, std::move(reply), std::move(response)});
+        m_delayed.push_back({now + m_faults.delay, std::move(reply), std::move(response)});
         return;
     }
     reply(std::move(response));
 }
 
-void store_service::answer_watches(time_point now)
+void store_service::respond_to_watches(time_point now)
 {
     for (auto it = m_watches.begin(); it != m_watches.end();) {
         nlohmann::json result{{"header", header()}};
@@ -198,12 +198,12 @@
 
 void store_service::tick(time_point now)
 {
-    if (!m_store.expire(now).empty()) answer_watches(now);
-    answer_watches(now);
-    for (auto it = m_held.begin(); it != m_held.end();) {
+    if (!m_store.expire(now).empty()) respond_to_watches(now);
+    respond_to_watches(now);
+    for (auto it = m_delayed.begin(); it != m_delayed.end();) {
         if (it->due <= now) {
             it->reply(std::move(it->response));
-            it = m_held.erase(it);
+            it = m_delayed.erase(it);
         } else {
             ++it;
         }
@@ -221,14 +221,14 @@
                                         "Send {\"address\":\"host:port\",\"state\":\"live\" or \"leaving\"}."));
         }
         auto& vm = m_vms[body["address"].get<std::string>()];
-        vm.before = vm.state.empty() ? "live" : vm.state;
+        vm.previous_state = vm.state.empty() ? "live" : vm.state;
         vm.state = body["state"].get<std::string>();
-        vm.shown_at = now + m_faults.vm_lag;
+        vm.visible_at = now + m_faults.vm_lag;
         return json_response(200, R"({"ok":true})");
     }
     nlohmann::json list = nlohmann::json::array();
     for (auto const& [address, vm] : m_vms)
-        list.push_back({{"address", address}, {"state", now >= vm.shown_at ? vm.state : vm.before}});
+        list.push_back({{"address", address}, {"state", now >= vm.visible_at ? vm.state : vm.previous_state}});
     return json_response(200, nlohmann::json{{"vms", list}}.dump());
 }
 
--- a/src/store/store_service.hpp
+++ b/src/store/store_service.hpp
@@ -43,7 +43,7 @@
         reply_fn reply;         ///< Where the answer goes.
     };
     /** A reply held back by the delay or lost-reply faults. */
-    struct held_reply {
+    struct delayed_response {
         time_point due;         ///< When it is sent.
         reply_fn reply;         ///< Target.
         http_response response; ///< Answer.
@@ -52,11 +52,11 @@
     /** @return the JSON answer of one API call. */
     nlohmann::json dispatch(std::string const& path, nlohmann::json const& body, time_point now, bool& is_write);
     /** @return whether the faults refuse this call; counts writes. */
-    bool refused(std::string const& path);
+    bool refused_by_fault(std::string const& path);
     /** Sends @p response now or later, as the faults say. */
     void send(reply_fn reply, http_response response, bool is_write, time_point now);
     /** Answers every waiting watch that has events or whose time is up. */
-    void answer_watches(time_point now);
+    void respond_to_watches(time_point now);
     /** Handles GET and POST /v1/vms: the platform's VM list, which lags by the fault's vm_lag_ms. */
     http_response vm_list(http_request const& request, time_point now);
     /** Handles POST /v1/fault. */
@@ -70,20 +70,20 @@
 
     /** A VM and its state, shown from a later time on. */
     struct vm_entry {
-        std::string state;   ///< "live" or "leaving".
-        std::string before;  ///< State shown until then.
-        time_point shown_at; ///< When the new state shows.
+        std::string state;          ///< "live" or "leaving".
+        std::string previous_state; ///< State shown until then.
+        time_point visible_at;      ///< When the new state shows.
     };
 
     std::map<std::string, std::int64_t> m_calls; ///< Calls by path, for the capacity bench.
     kv_store m_store;                            ///< Keys and leases.
     kv_store m_copy;                             ///< The same when the last copy was made.
-    std::int64_t m_cluster = 1;                  ///< Cluster id; another one after each restore.
+    std::int64_t m_cluster_id = 1;               ///< Cluster id; another one after each restore.
     std::map<std::string, vm_entry> m_vms;       ///< VM list by address.
     store_faults m_faults;                       ///< Faults in force.
-    bool m_skipped = false;                      ///< The write being served was counted by skip_writes.
+    bool m_write_skips_faults = false;           ///< The write being served was counted by skip_writes.
     std::list<waiting_watch> m_watches;          ///< Waiting watches.
-    std::list<held_reply> m_held;                ///< Replies held back.
+    std::list<delayed_response> m_delayed;       ///< Replies held back.
 };
 
 } // namespace cornelspring
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -23,17 +23,17 @@
 HOST = "h.example"
 REFUSALS = {503, 429, 408, 421}  # Each promises that the request has not run and will not run.
 DRAIN_S = 3.0  # A draining backend server gets no new work after this.
-CONFIG_S = 3.0  # A configuration is in force everywhere after this.
-KNOWN_S = 5.0  # A request that has crashed three servers is known to all gateways after this,
-REPEATS = 3  # and reaches servers in so many repetitions at most from then on.
+CONFIG_APPLY_S = 3.0  # A configuration is in force everywhere after this.
+QUARANTINE_KNOWN_S = 5.0  # A request that has crashed three servers is known to all gateways after this,
+MAX_REPEATS = 3  # and reaches servers in so many repetitions at most from then on.
 EVACUATE_S = 3.0  # An evacuated failure domain gets nothing new after this.
 HOME = "d1"  # Failure domain whose region alone may serve the route with homes.
 COLD_S = 3.0  # A cold backend server stays so for this,
 COLD_PER_S = 4  # bears so many requests a second,
-COLD_BOUND = COLD_PER_S * 1.5 + 5  # gets so many at most from all gateways,
-TOLD_S = 1.0  # once they have heard of it.
-STALL_STEP_S, STALL_S = 0.01, 0.1  # How often this process looks whether it stands still, and from when it counts.
-SETTLE_S = 12.0  # After the last fault everything works again within this.
+COLD_MAX_PER_S = COLD_PER_S * 1.5 + 5  # gets so many at most from all gateways,
+COLD_NOTIFY_S = 1.0  # once they have heard of it.
+STALL_CHECK_S, STALL_MIN_S = 0.01, 0.1  # How often this process looks whether it stands still, and from when it counts.
+RECOVERY_S = 12.0  # After the last fault everything works again within this.
 
 
 class Proxy:
@@ -58,12 +58,12 @@
             return
         self.writers |= {writer, up_writer}
         try:
-            await asyncio.gather(self.pump(reader, up_writer), self.pump(up_reader, writer))
+            await asyncio.gather(self.forward(reader, up_writer), self.forward(up_reader, writer))
         except asyncio.CancelledError:
             return  # The run is over.
         self.writers -= {writer, up_writer}
 
-    async def pump(self, reader, writer):
+    async def forward(self, reader, writer):
         try:
             while data := await reader.read(65536):
                 while self.mode == "silent":
@@ -97,9 +97,9 @@
     reader, writer = await asyncio.open_connection(host, port)
     data = json.dumps(body).encode() if body is not None else b""
     request = f"{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(data)}\r\n\r\n".encode() + data
-    answer = await asyncio.wait_for(exchange(reader, writer, request), 5)
+    response = await asyncio.wait_for(exchange(reader, writer, request), 5)
     writer.close()
-    return answer[0], json.loads(answer[2] or b"null")
+    return response[0], json.loads(response[2] or b"null")
 
 
 class Soak:
@@ -110,20 +110,20 @@
         self.gateway_count, self.processes, self.proxies = gateways, {}, {}
         self.violations, self.stats = [], collections.Counter()
         self.config_version, self.configs = 0, {}  # version -> (shards, time of acknowledgement)
-        self.disturbed = {}  # name -> time until which a fault touches it
+        self.disturbed_until = {}  # name -> time until which a fault touches it
         self.outcomes = {}  # id of a write -> status or "cut"
-        self.cuts = []  # (id, gateway, time): a connection that ended without an answer
+        self.dropped_connections = []  # (id, gateway, time): a connection that ended without an answer
         self.drained = {}  # backend -> time it was drained
         self.stalls = []  # (begin, end) of the times in which this process stood still
-        self.written = {}  # key -> value, what operators and backend servers keep in the store
-        self.restored = asyncio.Event()  # Unset while the store is away and comes back from a copy.
-        self.restored.set()
+        self.stored_items = {}  # key -> value, what operators and backend servers keep in the store
+        self.store_available = asyncio.Event()  # Unset while the store is away and comes back from a copy.
+        self.store_available.set()
         self.cold = set()  # backends that say that they are cold
         self.net = f"127.{os.getpid() // 250 % 250 + 1}.{os.getpid() % 250 + 1}."
 
     def violation(self, text):
         self.violations.append(text)
-        print(f"VIOLATION at {time.monotonic() - self.begun:.3f} s: {text}", flush=True)
+        print(f"VIOLATION at {time.monotonic() - self.started:.3f} s: {text}", flush=True)
 
     def spawn(self, name, binary, *args):
         log = open(self.folder / f"{name}.log", "ab")
@@ -158,11 +158,11 @@
         path.write_text(json.dumps(settings))
         self.spawn(f"gw-{number}", "cornel-gateway", "--set", f'platform_settings="{path}"')
 
-    async def store(self, path, body):
+    async def call_store(self, path, body):
         return await call(self.store_port, "POST", f"/stand-in/{path}", body)
 
-    async def configure(self, shards):
-        await self.restored.wait()
+    async def write_config(self, shards):
+        await self.store_available.wait()
         self.config_version += 1
         base = {"hostname": HOST, "timeout_ms": 2000, "goal_ms": 400, "priority": 1, "attempts": 2}
         routes = [{**base, "name": "q", "prefix": "/q/", "route_type": "idempotent", "gather": shards, "top_k": 4,
@@ -177,23 +177,23 @@
                   "limits": {"max_header_bytes": 8192, "max_body_bytes": 65536, "header_timeout_ms": 2000,
                              "idle_timeout_ms": 5000}}
         self.configs[self.config_version] = (shards, float("inf"))
-        await self.write("op/config", config)
+        await self.write_item("op/config", config)
         self.configs[self.config_version] = (shards, time.monotonic())
 
-    async def write(self, key, value):
+    async def write_item(self, key, value):
         """Writes what an operator or a backend server writes, and knows it for the store's return to a copy."""
-        await self.restored.wait()
-        self.written[key] = value
-        await self.store("put", {"key": key, "value": value})
+        await self.store_available.wait()
+        self.stored_items[key] = value
+        await self.call_store("put", {"key": key, "value": value})
 
-    async def drop(self, key):
+    async def remove_item(self, key):
         """Removes what an operator wrote."""
-        await self.restored.wait()
-        self.written.pop(key, None)
-        await self.store("drop", {"key": key})
+        await self.store_available.wait()
+        self.stored_items.pop(key, None)
+        await self.call_store("drop", {"key": key})
 
-    async def begin(self):
-        self.begun = time.monotonic()
+    async def start_all(self):
+        self.started = time.monotonic()
         self.store_port = await self.start_with_port("store", "cornel-stand-in", "store")
         services = json.dumps([*SHARDS, "s"])
         self.backends_port = await self.start_with_port(
@@ -206,8 +206,8 @@
             await proxy.start()
         self.entries = {name: {**entry, "address": f"127.0.0.1:{self.proxies[name].port}"} for name, entry in entries.items()}
         for name, entry in self.entries.items():
-            await self.write(f"servers/{name}", entry)
-        await self.configure(SHARDS)
+            await self.write_item(f"servers/{name}", entry)
+        await self.write_config(SHARDS)
         for number in range(1, self.gateway_count + 1):
             self.start_gateway(number)
         await self.await_all_ready(20)
@@ -230,50 +230,50 @@
     async def watch_stalls(self):
         """Notes when this process, through which all connections to servers and the store go, stood still."""
         while True:
-            begun = time.monotonic()
-            await asyncio.sleep(STALL_STEP_S)
-            late = time.monotonic() - begun - STALL_STEP_S
-            if late > STALL_S:
-                self.stalls.append((begun, begun + STALL_STEP_S + late))
-                print(f"stalled for {late * 1000:.0f} ms until {time.monotonic() - self.begun:.3f} s, "
+            started = time.monotonic()
+            await asyncio.sleep(STALL_CHECK_S)
+            late = time.monotonic() - started - STALL_CHECK_S
+            if late > STALL_MIN_S:
+                self.stalls.append((started, started + STALL_CHECK_S + late))
+                print(f"stalled for {late * 1000:.0f} ms until {time.monotonic() - self.started:.3f} s, "
                       f"{time.time():.3f}", flush=True)
 
     # ---- Callers ----
 
     async def caller(self, number):
         """Sends requests over kept connections until told to stop."""
-        draw = random.Random(f"{number}-{self.random.random()}")
+        rng = random.Random(f"{number}-{self.random.random()}")
         connection, gateway = None, 1
         count = 0
         while not self.stop_callers:
-            await asyncio.sleep(draw.expovariate(15))
+            await asyncio.sleep(rng.expovariate(15))
             count += 1
             request_id = f"c{number}-{count}"
-            kind = draw.choice("qqrwh")
+            kind = rng.choice("qqrwh")
             method, body = ("POST", f"entry {request_id}") if kind == "w" else ("GET", "")
             request = (f"{method} /{kind}/x HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: {request_id}\r\nDeadline: 1500\r\n"
                        f"Content-Length: {len(body)}\r\n\r\n{body}").encode()
             try:
                 if connection is None:
-                    gateway = draw.randint(1, self.gateway_count)
+                    gateway = rng.randint(1, self.gateway_count)
                     connection = await asyncio.wait_for(asyncio.open_connection(self.address(gateway), 18104), 1)
-                answer = await asyncio.wait_for(exchange(*connection, request), 4)
+                response = await asyncio.wait_for(exchange(*connection, request), 4)
             except (OSError, asyncio.IncompleteReadError, asyncio.TimeoutError, asyncio.LimitOverrunError) as failure:
                 self.stats["no answer"] += 1
                 if connection is not None:
-                    self.cuts.append((request_id, gateway, time.monotonic(), type(failure).__name__))
+                    self.dropped_connections.append((request_id, gateway, time.monotonic(), type(failure).__name__))
                     connection[1].close()
                     if kind == "w":
                         self.outcomes[request_id] = "cut"
                 connection = None
                 continue
-            self.check(kind, request_id, answer)
-            if answer[1].get("connection") == "close" or draw.random() < 0.05:
+            self.check(kind, request_id, response)
+            if response[1].get("connection") == "close" or rng.random() < 0.05:
                 connection[1].close()
                 connection = None
 
-    def check(self, kind, request_id, answer):
-        status, headers, body = answer
+    def check(self, kind, request_id, response):
+        status, headers, body = response
         self.stats[f"{kind} {status}"] += 1
         if kind == "w":
             self.outcomes[request_id] = status
@@ -303,14 +303,14 @@
 
     # ---- Faults ----
 
-    def disturb(self, name, for_s):
+    def mark_disturbed(self, name, for_s):
         """Notes that a fault touches @p name, and for some seconds its consequences do."""
-        self.disturbed[name] = max(self.disturbed.get(name, 0), time.monotonic() + for_s)
+        self.disturbed_until[name] = max(self.disturbed_until.get(name, 0), time.monotonic() + for_s)
 
     async def fault_proxy(self, name):
         proxy, mode = self.proxies[name], self.random.choice(["delay", "silent", "refuse", "reset"])
         for_s = self.random.uniform(0.3, 4)
-        self.disturb(name, for_s + 3)
+        self.mark_disturbed(name, for_s + 3)
         if mode == "reset":
             proxy.reset_all()
             return
@@ -326,150 +326,150 @@
         number = self.random.randint(1, self.gateway_count)
         name, how = f"gw-{number}", self.random.choice(["term", "kill", "pause", "hup"])
         process = self.processes[name]
-        if self.disturbed.get(name, 0) > time.monotonic() or name in self.restarting:
+        if self.disturbed_until.get(name, 0) > time.monotonic() or name in self.restarting:
             return
         if how == "hup":
             process.send_signal(signal.SIGHUP)
         elif how == "pause":
             for_s = self.random.uniform(0.2, 3)
-            self.disturb(name, for_s + 4)
+            self.mark_disturbed(name, for_s + 4)
             process.send_signal(signal.SIGSTOP)
             await asyncio.sleep(for_s)
             process.send_signal(signal.SIGCONT)
         else:
-            self.disturb(name, 8 if how == "kill" else 0.01)
+            self.mark_disturbed(name, 8 if how == "kill" else 0.01)
             process.send_signal(signal.SIGKILL if how == "kill" else signal.SIGTERM)
             self.restarting.add(name)
             while process.poll() is None:
                 await asyncio.sleep(0.02)
             if how == "term" and process.returncode != 0:
                 self.violation(f"{name} ended with {process.returncode} after SIGTERM")
-            self.disturb(name, 3)  # Callers still hold its address.
+            self.mark_disturbed(name, 3)  # Callers still hold its address.
             await asyncio.sleep(self.random.uniform(0.05, 1))
             self.start_gateway(number)
             self.restarting.discard(name)
 
     async def fault_backend(self):
         name = self.random.choice(list(self.entries))
-        self.disturb(name, 4)
+        self.mark_disturbed(name, 4)
         mode = self.random.choice(["shed", "error", "hang", "reset", "silent_run", "extra", "late_extra", "unframed",
                                    "truncated", "no_signature", "encoded", "early"])
         await call(self.backends_port, "POST", "/behave", {"backend": name, "mode": mode})
         await asyncio.sleep(self.random.uniform(0.3, 4))
         await call(self.backends_port, "POST", "/behave", {"backend": name, "mode": "ok"})
-        self.disturb(name, 2)
+        self.mark_disturbed(name, 2)
 
     async def fault_store(self):
         fault = self.random.choice([{"mode": "busy"}, {"mode": "silent"}, {"deaf_watches": True}, {"lose_writes": 3}])
         for_s = self.random.uniform(0.3, 4)
-        self.disturb("store", for_s + 3)
-        await self.store("fault", fault)
+        self.mark_disturbed("store", for_s + 3)
+        await self.call_store("fault", fault)
         await asyncio.sleep(for_s)
-        await self.store("fault", {"mode": "ok", "deaf_watches": False, "lose_writes": 0})
+        await self.call_store("fault", {"mode": "ok", "deaf_watches": False, "lose_writes": 0})
 
-    async def return_to_copy(self):
+    async def restore_store(self):
         """The store is away and comes back from a copy some seconds old; operators and servers write again."""
-        if not self.restored.is_set():
+        if not self.store_available.is_set():
             return
-        await self.store("copy", {})
+        await self.call_store("copy", {})
         await asyncio.sleep(self.random.uniform(0.2, 4))
-        if not self.restored.is_set():
+        if not self.store_available.is_set():
             return
-        self.restored.clear()
+        self.store_available.clear()
         for_s, again_s = self.random.uniform(0.1, 2), self.random.uniform(0, 1.5)
-        self.disturb("store", for_s + again_s + 3)
-        await self.store("fault", {"mode": self.random.choice(["busy", "silent"])})
+        self.mark_disturbed("store", for_s + again_s + 3)
+        await self.call_store("fault", {"mode": self.random.choice(["busy", "silent"])})
         await asyncio.sleep(for_s)
         if self.random.random() < 0.3:
-            await self.store("restore", {})  # Twice in a row.
-        await self.store("restore", {})
-        await self.store("fault", {"mode": "ok", "deaf_watches": False, "lose_writes": 0})
+            await self.call_store("restore", {})  # Twice in a row.
+        await self.call_store("restore", {})
+        await self.call_store("fault", {"mode": "ok", "deaf_watches": False, "lose_writes": 0})
         await asyncio.sleep(again_s)
-        await self.write_again()
+        await self.rewrite_items()
         self.stats["returns to a copy"] += 1
-        self.restored.set()
+        self.store_available.set()
 
-    async def write_again(self):
+    async def rewrite_items(self):
         """Puts right what the copy has of operators and backend servers."""
-        _, held = await self.store("keys", {})
+        _, held = await self.call_store("keys", {})
         for key in held:
-            if key.startswith(("op/", "servers/")) and key not in self.written:
-                await self.store("drop", {"key": key})
-        for key, value in self.written.items():
+            if key.startswith(("op/", "servers/")) and key not in self.stored_items:
+                await self.call_store("drop", {"key": key})
+        for key, value in self.stored_items.items():
             if key not in held or json.loads(held[key]) != value:
-                await self.store("put", {"key": key, "value": value})
+                await self.call_store("put", {"key": key, "value": value})
 
     async def change_config(self):
-        await self.configure(self.random.sample(SHARDS, self.random.randint(3, len(SHARDS))))
+        await self.write_config(self.random.sample(SHARDS, self.random.randint(3, len(SHARDS))))
 
     async def drain_backend(self):
         name = self.random.choice([each for each in self.entries if each not in {*self.drained, *self.cold}])
-        await self.write(f"servers/{name}", {**self.entries[name], "state": "draining"})
+        await self.write_item(f"servers/{name}", {**self.entries[name], "state": "draining"})
         at = time.monotonic()
         self.drained[name] = at
         await asyncio.sleep(DRAIN_S + 2)
-        if self.disturbed.get("store", 0) < at:
+        if self.disturbed_until.get("store", 0) < at:
             _, journal = await call(self.backends_port, "POST", "/journal", {})
             late = [e for e in journal if e["backend"] == name and e["at_ms"] / 1000 > at + DRAIN_S]
             if late:
-                self.violation(f"{name} drained at {at - self.begun:.3f} got {len(late)} requests after {DRAIN_S} s")
-        await self.write(f"servers/{name}", self.entries[name])
+                self.violation(f"{name} drained at {at - self.started:.3f} got {len(late)} requests after {DRAIN_S} s")
+        await self.write_item(f"servers/{name}", self.entries[name])
         del self.drained[name]
 
-    def calm_since(self, at):
+    def undisturbed_since(self, at):
         """Whether no fault has touched the store or a gateway since @p at."""
-        return all(self.disturbed.get(name, 0) < at for name in ["store", *(f"gw-{n}" for n in range(1, 99))])
+        return all(self.disturbed_until.get(name, 0) < at for name in ["store", *(f"gw-{n}" for n in range(1, 99))])
 
     async def evacuate(self):
         """One failure domain at a time gets nothing new, until it is taken back."""
-        if self.evacuation_runs:
+        if self.evacuation_active:
             return
-        self.evacuation_runs = True
+        self.evacuation_active = True
         domain = self.random.choice(["d1", "d2"])
-        await self.write(f"op/evacuate/{domain}", {})
+        await self.write_item(f"op/evacuate/{domain}", {})
         at = time.monotonic()
         await asyncio.sleep(EVACUATE_S + 3)
         _, journal = await call(self.backends_port, "POST", "/journal", {})
         late = [e["id"] for e in journal
                 if self.entries[e["backend"]]["zone"] == domain and e["at_ms"] / 1000 > at + EVACUATE_S]
-        if late and self.calm_since(at):
-            self.violation(f"{domain}, evacuated at {at - self.begun:.3f}, got {len(late)} requests after {EVACUATE_S} s")
-        await self.drop(f"op/evacuate/{domain}")
+        if late and self.undisturbed_since(at):
+            self.violation(f"{domain}, evacuated at {at - self.started:.3f}, got {len(late)} requests after {EVACUATE_S} s")
+        await self.remove_item(f"op/evacuate/{domain}")
         self.stats["evacuations"] += 1
-        self.evacuation_runs = False
+        self.evacuation_active = False
 
-    async def become_cold(self):
+    async def mark_server_cold(self):
         """One backend server says that it is cold; its pace is kept by all gateways together."""
         name = self.random.choice([each for each in self.entries if each not in self.drained])
         if name in self.cold:
             return
         self.cold.add(name)
-        await self.write(f"servers/{name}", {**self.entries[name], "warmup_left_ms": COLD_S * 1000})
+        await self.write_item(f"servers/{name}", {**self.entries[name], "warmup_left_ms": COLD_S * 1000})
         at = time.monotonic()
         await asyncio.sleep(COLD_S)
         _, journal = await call(self.backends_port, "POST", "/journal", {})
         times = sorted(e["at_ms"] / 1000 for e in journal if e["backend"] == name)
-        times = [each for each in times if at + TOLD_S < each < at + COLD_S]
-        most = max((sum(begin <= each < begin + 1 for each in times) for begin in times), default=0)
-        if most > COLD_BOUND and self.calm_since(at):
-            self.violation(f"{name}, cold since {at - self.begun:.3f}, got {most} requests in one second")
-        await self.write(f"servers/{name}", self.entries[name])
+        times = [each for each in times if at + COLD_NOTIFY_S < each < at + COLD_S]
+        peak = max((sum(start <= each < start + 1 for each in times) for start in times), default=0)
+        if peak > COLD_MAX_PER_S and self.undisturbed_since(at):
+            self.violation(f"{name}, cold since {at - self.started:.3f}, got {peak} requests in one second")
+        await self.write_item(f"servers/{name}", self.entries[name])
         self.stats["cold servers"] += 1
         self.cold.discard(name)
 
-    async def crash_with_query(self):
+    async def repeat_crashing_query(self):
         """One query crashes each server that runs it, and comes again at any gateway."""
-        if self.crash_query_runs:
+        if self.crashing_query_active:
             return
-        self.crash_query_runs = True
+        self.crashing_query_active = True
         path, for_s = f"/q/crash-{self.random.random()}", 12
-        self.disturb("backends", for_s + 3)
+        self.mark_disturbed("backends", for_s + 3)
         await call(self.backends_port, "POST", "/behave", {"crash_path": path, "down_ms": 400})
-        asked, until = {}, time.monotonic() + for_s
+        sent, until = {}, time.monotonic() + for_s
         while time.monotonic() < until:
             request_id, gateway = f"crash-{self.random.random()}", self.random.randint(1, self.gateway_count)
             request = f"GET {path} HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: {request_id}\r\nDeadline: 800\r\n\r\n"
-            asked[request_id] = (time.monotonic(), gateway)
+            sent[request_id] = (time.monotonic(), gateway)
             try:
                 reader, writer = await asyncio.wait_for(asyncio.open_connection(self.address(gateway), 18104), 1)
                 await asyncio.wait_for(exchange(reader, writer, request.encode()), 2)
@@ -478,31 +478,31 @@
                 pass  # The gateway is stopped or paused; another one is next.
             await asyncio.sleep(self.random.uniform(0.2, 1.0))
         await call(self.backends_port, "POST", "/behave", {"crash_path": ""})
-        await self.check_crash_query(path, asked)
-        self.crash_query_runs = False
+        await self.check_crashing_query(path, sent)
+        self.crashing_query_active = False
 
-    async def check_crash_query(self, path, asked):
+    async def check_crashing_query(self, path, sent):
         _, journal = await call(self.backends_port, "POST", "/journal", {})
         runs = [e for e in journal if e["line"] == f"GET {path}" and e["ran"]]
         if len(runs) < 3:
             return
-        known = sorted(e["at_ms"] for e in runs)[2] / 1000 + KNOWN_S
+        known_at = sorted(e["at_ms"] for e in runs)[2] / 1000 + QUARANTINE_KNOWN_S
         repeats = {e["id"] for e in journal if e["line"] == f"GET {path}"}
-        late = [i for i in repeats if asked[i][0] > known and self.in_touch(*asked[i])]
+        late = [i for i in repeats if sent[i][0] > known_at and self.undisturbed_before(*sent[i])]
         self.stats["repeats of a crashing query"] += len(late)
-        if len(late) > REPEATS:
-            self.violation(f"{path} reached servers in {len(late)} repetitions after {known - self.begun:.3f}: {late}")
+        if len(late) > MAX_REPEATS:
+            self.violation(f"{path} reached servers in {len(late)} repetitions after {known_at - self.started:.3f}: {late}")
 
-    def in_touch(self, at, gateway):
+    def undisturbed_before(self, at, gateway):
         """Whether neither the store nor the gateway had a fault in the time in which it is told."""
-        return all(self.disturbed.get(name, 0) < at - KNOWN_S for name in ("store", f"gw-{gateway}"))
+        return all(self.disturbed_until.get(name, 0) < at - QUARANTINE_KNOWN_S for name in ("store", f"gw-{gateway}"))
 
     async def faults(self):
         """Starts faults at random times; they overlap."""
         kinds = [lambda: self.fault_proxy("store"), lambda: self.fault_proxy(self.random.choice(list(self.entries))),
                  self.fault_gateway, self.fault_gateway, self.fault_backend, self.fault_backend, self.fault_store,
-                 self.change_config, self.return_to_copy, self.drain_backend, self.crash_with_query, self.evacuate,
-                 self.become_cold]
+                 self.change_config, self.restore_store, self.drain_backend, self.repeat_crashing_query, self.evacuate,
+                 self.mark_server_cold]
         running, until = [], time.monotonic() + self.seconds
         while time.monotonic() < until:
             await asyncio.sleep(self.random.expovariate(1.2))
@@ -511,22 +511,22 @@
 
     # ---- The end ----
 
-    async def check_settled(self):
+    async def check_recovery(self):
         """Every gateway serves, with the newest configuration."""
-        await self.await_all_ready(SETTLE_S)
-        await asyncio.sleep(CONFIG_S)
+        await self.await_all_ready(RECOVERY_S)
+        await asyncio.sleep(CONFIG_APPLY_S)
         shards = self.configs[self.config_version][0]
         for number in range(1, self.gateway_count + 1):
             for attempt in range(5):
                 request_id = f"end-{number}-{attempt}"
                 request = f"GET /q/x HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: {request_id}\r\nDeadline: 1500\r\n\r\n".encode()
                 reader, writer = await asyncio.open_connection(self.address(number), 18104)
-                answer = await asyncio.wait_for(exchange(reader, writer, request), 4)
+                response = await asyncio.wait_for(exchange(reader, writer, request), 4)
                 writer.close()
-                self.check("q", request_id, answer)
-                parts = answer[1].get("part-stamps", "").split(", ")
-                if answer[0] != 200 or len(parts) + int(answer[1].get("missing-parts", 0)) != len(shards):
-                    self.violation(f"{request_id}: after all faults {answer[0]}, {len(parts)} parts of {len(shards)}")
+                self.check("q", request_id, response)
+                parts = response[1].get("part-stamps", "").split(", ")
+                if response[0] != 200 or len(parts) + int(response[1].get("missing-parts", 0)) != len(shards):
+                    self.violation(f"{request_id}: after all faults {response[0]}, {len(parts)} parts of {len(shards)}")
 
     async def check_journal(self):
         _, journal = await call(self.backends_port, "POST", "/journal", {})
@@ -534,31 +534,31 @@
         for entry in journal:
             reached[entry["id"]] += 1
             runs[entry["id"]] += 1 if entry["ran"] else 0
-        away = {e["id"] for e in journal if e["line"] == "GET /h/x" and self.entries[e["backend"]]["zone"] != HOME}
-        if away:
-            self.violation(f"{len(away)} requests with homes reached servers elsewhere: {sorted(away)[:5]}")
+        elsewhere = {e["id"] for e in journal if e["line"] == "GET /h/x" and self.entries[e["backend"]]["zone"] != HOME}
+        if elsewhere:
+            self.violation(f"{len(elsewhere)} requests with homes reached servers elsewhere: {sorted(elsewhere)[:5]}")
         for request_id, outcome in self.outcomes.items():
             if runs[request_id] > 1:
                 self.violation(f"{request_id} ran {runs[request_id]} times")
             if outcome in REFUSALS and runs[request_id] > 0:
                 self.violation(f"{request_id} was answered {outcome} and ran")
-        for request_id, gateway, at, how in self.cuts:
-            calm = self.disturbed.get(f"gw-{gateway}", 0) < at - 4
-            if calm and reached[request_id] > 0 and how != "TimeoutError":
-                self.violation(f"{request_id}: passed on, then cut by gw-{gateway} at {at - self.begun:.3f} ({how})")
+        for request_id, gateway, at, how in self.dropped_connections:
+            undisturbed = self.disturbed_until.get(f"gw-{gateway}", 0) < at - 4
+            if undisturbed and reached[request_id] > 0 and how != "TimeoutError":
+                self.violation(f"{request_id}: passed on, then cut by gw-{gateway} at {at - self.started:.3f} ({how})")
         for name, process in self.processes.items():
             if process.poll() not in (None, 0):
                 self.violation(f"{name} ended by itself with {process.returncode}")
 
     async def run(self):
-        self.stop_callers, self.crash_query_runs, self.restarting = False, False, set()
-        self.evacuation_runs = False
+        self.stop_callers, self.crashing_query_active, self.restarting = False, False, set()
+        self.evacuation_active = False
         try:
-            await self.begin()
+            await self.start_all()
             stall_watch = asyncio.create_task(self.watch_stalls())
             callers = [asyncio.create_task(self.caller(number)) for number in range(12)]
             await self.faults()
-            await self.check_settled()
+            await self.check_recovery()
             self.stop_callers = True
             await asyncio.gather(*callers)
             await self.check_journal()
--- a/tests/stand_in/main.cpp
+++ b/tests/stand_in/main.cpp
@@ -70,11 +70,11 @@
     void on_request(caller_request request)
     {
         auto const& message = request.message;
-        json answer;
-        if (message.path == "/entries") answer = entries();
-        if (message.path == "/journal") answer = journal();
+        json result;
+        if (message.path == "/entries") result = entries();
+        if (message.path == "/journal") result = journal();
         if (message.path == "/behave") behave(json::parse(message.body));
-        m_control.respond(request.key, json_response(200, answer.dump()));
+        m_control.respond(request.key, json_response(200, result.dump()));
     }
     json entries() const
     {
@@ -117,7 +117,7 @@
             if (body.contains("crash_path"))
                 server->crash_on(body["crash_path"], milliseconds(body.value("down_ms", 1000)));
             if (body.contains("mode") || body.contains("work_ms"))
-                server->behave({body.value("mode", "ok"), body.value("work_ms", 5), body.value("times", -1)});
+                server->set_behaviour({body.value("mode", "ok"), body.value("work_ms", 5), body.value("times", -1)});
         }
     }
 
--- a/tests/stand_in/platform_store.cpp
+++ b/tests/stand_in/platform_store.cpp
@@ -61,13 +61,13 @@
 
 void platform_store::tick()
 {
-    if (!m_store.expire(m_loop.now()).empty()) answer_watches();
+    if (!m_store.expire(m_loop.now()).empty()) respond_to_watches();
     for (auto it = m_watches.begin(); it != m_watches.end();) {
         if (it->until > m_loop.now() || m_mode == "silent") {
             ++it;
             continue;
         }
-        answer(it->key, *watch_answer(*it, true));
+        respond(it->key, *watch_response(*it, true));
         it = m_watches.erase(it);
     }
     m_loop.run_at(m_loop.now() + milliseconds(20), [this] { tick(); });
@@ -83,10 +83,10 @@
         response.status = 400;
         response.body = failure.what();
     }
-    if (!hold) answer(request.key, std::move(response));
+    if (!hold) respond(request.key, std::move(response));
 }
 
-void platform_store::answer(request_key key, http_response response)
+void platform_store::respond(request_key key, http_response response)
 {
     response.headers.push_back({"store-era", std::to_string(m_era)});
     m_server.respond(key, std::move(response));
@@ -95,10 +95,10 @@
 void platform_store::restore()
 {
     m_store = m_copy;
-    m_store.renew_all(m_loop.now());
+    m_store.renew_all_leases(m_loop.now());
     ++m_era;
     for (auto const& watch : std::exchange(m_watches, {}))
-        answer(watch.key, status_only(503));
+        respond(watch.key, status_only(503));
 }
 
 http_response platform_store::handle(http_request const& request, bool& hold, request_key key)
@@ -117,14 +117,14 @@
         waiting_watch watch{key, query_value(request.path, "prefix"), std::stoll(query_value(request.path, "after")),
                             m_loop.now() + milliseconds(std::stoi(query_value(request.path, "wait_ms")))};
         if (!m_deaf_watches) {
-            if (auto answer = watch_answer(watch, false)) return *answer;
+            if (auto response = watch_response(watch, false)) return *response;
         }
         m_watches.push_back(watch);
         hold = true;
         return {};
     }
     auto response = path == "/cornelspring/kv-txn" ? transact(body) : lease_call(path, request, body);
-    answer_watches();
+    respond_to_watches();
     if (m_lose_writes > 0 && path == "/cornelspring/kv-txn") {
         --m_lose_writes;
         hold = true;
@@ -158,7 +158,7 @@
     return json_response(200, json{{"items", items}, {"more_pages", more}, {"as_of", m_store.revision()}}.dump());
 }
 
-std::optional<http_response> platform_store::watch_answer(waiting_watch const& watch, bool timed_out) const
+std::optional<http_response> platform_store::watch_response(waiting_watch const& watch, bool timed_out) const
 {
     if (watch.after > m_store.revision()) return status_only(410);
     json events = json::array();
@@ -180,16 +180,16 @@
     return json_response(200, json{{"events", events}, {"as_of", as_of}}.dump());
 }
 
-void platform_store::answer_watches()
+void platform_store::respond_to_watches()
 {
     if (m_deaf_watches || m_mode == "silent") return;
     for (auto it = m_watches.begin(); it != m_watches.end();) {
-        auto answer = watch_answer(*it, false);
-        if (!answer) {
+        auto response = watch_response(*it, false);
+        if (!response) {
             ++it;
             continue;
         }
-        this->answer(it->key, std::move(*answer));
+        this->respond(it->key, std::move(*response));
         it = m_watches.erase(it);
     }
 }
@@ -267,7 +267,7 @@
         m_lose_writes = body.value("lose_writes", m_lose_writes);
         m_deaf_watches = body.value("deaf_watches", m_deaf_watches);
     }
-    answer_watches();
+    respond_to_watches();
     return json_response(200, json{{"revision", m_store.revision()}}.dump());
 }
 
--- a/tests/stand_in/platform_store.hpp
+++ b/tests/stand_in/platform_store.hpp
@@ -32,7 +32,7 @@
 
     void on_request(caller_request request);
     /** Answers a call, naming the era. */
-    void answer(request_key key, http_response response);
+    void respond(request_key key, http_response response);
     /** Puts back what the store held when the last copy was made. */
     void restore();
     http_response handle(http_request const& request, bool& hold, request_key key);
@@ -41,8 +41,8 @@
     http_response transact(nlohmann::json const& body);
     http_response lease_call(std::string const& path, http_request const& request, nlohmann::json const& body);
     nlohmann::json item(key_value const& kv) const;
-    std::optional<http_response> watch_answer(waiting_watch const& watch, bool timed_out) const;
-    void answer_watches();
+    std::optional<http_response> watch_response(waiting_watch const& watch, bool timed_out) const;
+    void respond_to_watches();
     void tick();
 
     event_loop& m_loop;                   ///< Event loop.
--- a/tests/stand_in/shard_server.cpp
+++ b/tests/stand_in/shard_server.cpp
@@ -12,15 +12,15 @@
 void shard_server::listen(std::uint16_t port)
 {
     m_listener = std::make_unique<tcp_listener>(m_loop, endpoint{"127.0.0.1", port}, [this](int socket) {
-        auto const number = ++m_last;
-        auto& made = m_connections[number];
-        made.reader = std::make_unique<message_reader>(message_reader::kind::request);
+        auto const number = ++m_last_number;
+        auto& added = m_connections[number];
+        added.reader = std::make_unique<message_reader>(message_reader::kind::request);
         stream_events events;
         events.on_bytes = [this, number](std::string_view bytes) { on_bytes(number, bytes); };
         events.on_end = [this, number](stream_end) {
             m_loop.run_at(m_loop.now(), [this, number] { m_connections.erase(number); });
         };
-        made.stream = std::make_unique<tcp_stream>(m_loop, socket, stream_options{}, std::move(events));
+        added.stream = std::make_unique<tcp_stream>(m_loop, socket, stream_options{}, std::move(events));
     });
     m_port = m_listener->port();
 }
@@ -28,14 +28,14 @@
 void shard_server::crash_on(std::string path, milliseconds down)
 {
     m_crash_path = std::move(path);
-    m_down = down;
+    m_down_time = down;
 }
 
 void shard_server::crash()
 {
     if (!m_listener) return;
     m_connections.clear();
-    m_loop.run_at(m_loop.now() + m_down, [this] { listen(m_port); });
+    m_loop.run_at(m_loop.now() + m_down_time, [this] { listen(m_port); });
     m_listener.reset();
 }
 
@@ -71,7 +71,7 @@
     on_request(number, std::move(request));
 }
 
-std::string shard_server::take_mode()
+std::string shard_server::consume_mode()
 {
     auto const mode = m_behaviour.mode;
     if (m_behaviour.times > 0 && --m_behaviour.times == 0) m_behaviour = {};
@@ -80,7 +80,7 @@
 
 void shard_server::on_request(std::uint64_t number, http_request request)
 {
-    auto const mode = take_mode();
+    auto const mode = consume_mode();
     auto const now_ms = std::chrono::duration_cast<milliseconds>(m_loop.now().time_since_epoch()).count();
     bool const misdirected = request.header("target-instance") != m_id;
     bool const runs = !misdirected && mode != "shed" && mode != "early";
@@ -105,10 +105,10 @@
         return;
     }
     m_loop.run_at(m_loop.now() + milliseconds(m_behaviour.work_ms),
-                  [this, number, request, mode] { answer(number, request, mode); });
+                  [this, number, request, mode] { respond(number, request, mode); });
 }
 
-http_response shard_server::make_answer(http_request const& request) const
+http_response shard_server::make_response(http_request const& request) const
 {
     http_response response;
     response.headers = {{"request-id", request.header("request-id")},
@@ -117,18 +117,18 @@
     return response;
 }
 
-void shard_server::answer(std::uint64_t number, http_request const& request, std::string const& mode)
+void shard_server::respond(std::uint64_t number, http_request const& request, std::string const& mode)
 {
     auto const found = m_connections.find(number);
     if (found == m_connections.end()) return;
     auto& to = found->second;
-    auto response = make_answer(request);
+    auto response = make_response(request);
     if (mode == "error") response.status = 500;
     if (mode == "no_signature") std::erase_if(response.headers, [](auto const& h) { return h.name == "server-stamp"; });
     if (mode == "encoded") response.headers.push_back({"content-encoding", "gzip"});
     auto bytes = serialize(response, false);
-    if (!to.late.empty()) bytes = std::exchange(to.late, {}) + bytes;
-    if (mode == "late_extra") to.late = serialize(response, false);
+    if (!to.late_response.empty()) bytes = std::exchange(to.late_response, {}) + bytes;
+    if (mode == "late_extra") to.late_response = serialize(response, false);
     if (mode == "extra") bytes += serialize(response, false);
     if (mode == "unframed") {
         auto const length = "content-length: " + std::to_string(response.body.size()) + "\r\n";
--- a/tests/stand_in/shard_server.hpp
+++ b/tests/stand_in/shard_server.hpp
@@ -40,7 +40,7 @@
     /** @return its service. */
     std::string const& service() const { return m_service; }
     /** Sets what it does. */
-    void behave(shard_behaviour behaviour) { m_behaviour = std::move(behaviour); }
+    void set_behaviour(shard_behaviour behaviour) { m_behaviour = std::move(behaviour); }
     /** From now on a request for @p path crashes it once it runs, whatever it does with others: all its connections
      *  close, and it refuses new ones for @p down. */
     void crash_on(std::string path, milliseconds down);
@@ -54,17 +54,17 @@
     struct connection {
         std::unique_ptr<tcp_stream> stream;     ///< Connection.
         std::unique_ptr<message_reader> reader; ///< Reader.
-        std::string late;                       ///< Bytes that go out before the next answer.
+        std::string late_response;              ///< Bytes that go out before the next answer.
     };
     void on_bytes(std::uint64_t number, std::string_view bytes);
     void on_request(std::uint64_t number, http_request request);
-    void answer(std::uint64_t number, http_request const& request, std::string const& mode);
-    std::string take_mode();
+    void respond(std::uint64_t number, http_request const& request, std::string const& mode);
+    std::string consume_mode();
     /** Listens at @p port; 0 picks one. */
     void listen(std::uint16_t port);
     /** Ends all connections, and is back after a while. */
     void crash();
-    http_response make_answer(http_request const& request) const;
+    http_response make_response(http_request const& request) const;
 
     event_loop& m_loop;                                          ///< Event loop.
     std::string m_id;                                            ///< Id.
@@ -72,9 +72,9 @@
     std::vector<journal_entry>& m_journal;                       ///< What arrived.
     shard_behaviour m_behaviour;                                 ///< What it does.
     std::string m_crash_path;                                    ///< What crashes it; empty: nothing.
-    milliseconds m_down{0};                                      ///< Time until it is back after a crash.
+    milliseconds m_down_time{0};                                 ///< Time until it is back after a crash.
     std::unordered_map<std::uint64_t, connection> m_connections; ///< By number.
-    std::uint64_t m_last = 0;                                    ///< Last number.
+    std::uint64_t m_last_number = 0;                             ///< Last number.
     std::uint16_t m_port = 0;                                    ///< Bound port.
     std::unique_ptr<tcp_listener> m_listener;                    ///< Listener; null while it is down.
 };
