--- a/src/backend/backend_service.cpp
+++ b/src/backend/backend_service.cpp
@@ -1,16 +1,16 @@
-/** @file backend_service.cpp Searches and writes with slots, shedding, deadlines, cancellation, drain and faults. */
+/** @file backend_service.cpp Runs searches and writes; simulates load shedding, draining and other faults. */
 #include "backend_service.hpp"
 
 namespace cornelspring {
 namespace {
 
-/** Seconds a shed caller is told to wait. */
+/** Retry-after of a rejected request, in seconds. */
 constexpr int shed_retry_after_s = 1;
-/** Most journal entries kept. */
+/** Largest number of journal entries held; the oldest are removed first. */
 constexpr std::size_t journal_limit = 500000;
-/** How often a waiting job looks whether its caller is still there. */
+/** Interval at which a running job checks whether its caller has cancelled the request. */
 constexpr milliseconds cancel_poll_interval{2};
-/** What a garbled answer holds. */
+/** Body of a malformed response. */
 constexpr char const* malformed_body = "\x01\x02 not what was asked for";
 
 /** @return the name of @p event in the journal. */
@@ -24,7 +24,7 @@
     return "received";
 }
 
-/** @return a 503 that says the request did not run. */
+/** @return a 503 response which states that the request did not run. */
 http_response not_run_response(std::string const& reason, bool draining)
 {
     auto response = error_response(error(error_kind::not_run, reason, "Send it to another replica or come back later."),
@@ -130,8 +130,8 @@
     } else if (request.path == paths::load_version && is_post) {
         reply(handle_versions_request(nlohmann::json::parse(request.body, nullptr, false)));
     } else {
-        reply(error_response(
-            error(error_kind::not_found, "no back-end API at '" + request.path + "'.", "Use POST /v1/shard/search.")));
+        reply(error_response(error(error_kind::not_found, "no backend server API at '" + request.path + "'.",
+                                   "Use POST /v1/shard/search.")));
     }
 }
 
@@ -243,7 +243,7 @@
         append_journal(journal_event::refused, task);
         lock.unlock();
         task.reply(not_run_response(
-            m_config.name + (draining ? " is draining and takes no new work." : " has no free slot."), draining));
+            m_config.name + (draining ? " is draining and accepts no new requests." : " has no free slot."), draining));
         return;
     }
     ++m_busy;
@@ -287,7 +287,8 @@
     bool const in_time = clock::now() < task.deadline;
     http_response response;
     if (!caller_waiting || !in_time) {
-        response = error_response(error(error_kind::timeout, "the deadline passed or the caller left before the end.",
+        response = error_response(error(error_kind::timeout,
+                                        "the deadline passed or the caller cancelled the request before it finished.",
                                         "Give the request a longer deadline."));
     } else if (task.is_write) {
         response = json_response(200, nlohmann::json{{"ran", task.write.idempotency_key}}.dump());
@@ -295,8 +296,8 @@
         response = task.send_malformed ? json_response(200, malformed_body) : search_response(task);
     }
     {
-        // The slot is free and the journal complete before the answer leaves, so a caller that has the answer
-        // finds it in the journal.
+        // Frees the slot and completes the journal before the response is sent, so that a caller that has received
+        // the response finds the request in the journal.
         std::lock_guard lock(m_mutex);
         if (caller_waiting && in_time) append_journal(journal_event::ran, task);
         --m_busy;
--- a/src/backend/corpus_index.cpp
+++ b/src/backend/corpus_index.cpp
@@ -1,4 +1,4 @@
-/** @file corpus_index.cpp Loading the corpus, partitioning it and searching one shard. */
+/** @file corpus_index.cpp Loads the corpus, partitions it and searches one shard. */
 #include "corpus_index.hpp"
 
 #include <algorithm>
@@ -38,7 +38,7 @@
         flush();
     }
     if (corpus.empty()) {
-        throw error(error_kind::not_found, "no documents under '" + directory + "'.",
+        throw error(error_kind::not_found, "no documents in '" + directory + "'.",
                     "Install Debian's fortunes package (scripts/setup does) or set corpus.directory.");
     }
     return corpus;
--- a/src/backend/main.cpp
+++ b/src/backend/main.cpp
@@ -1,4 +1,4 @@
-/** @file main.cpp cornel-backend: stand-in for a back end holding shards of the corpus, served over HTTP/2. */
+/** @file main.cpp cornel-backend: stand-in for backend servers that hold shards of the corpus, over HTTP/2. */
 #include "backend_service.hpp"
 
 #include <memory>
@@ -9,40 +9,40 @@
 
 /** Settings of cornel-backend. */
 std::vector<setting_def> const backend_settings = {
-    {"name", setting_type::text, std::nullopt, 0, 0, "name of this back end, reported in answers"},
-    {"service", setting_type::text, std::nullopt, 0, 0, "service whose shards it holds"},
-    {"shard_count", setting_type::integer, std::nullopt, 1, 4096, "shards of the service"},
+    {"name", setting_type::text, std::nullopt, 0, 0, "name of this backend server, reported in responses"},
+    {"service", setting_type::text, std::nullopt, 0, 0, "service to which the shards belong"},
+    {"shard_count", setting_type::integer, std::nullopt, 1, 4096, "number of shards of the service"},
     {"shards", setting_type::integer_list, setting_value{std::vector<std::int64_t>{}}, 0, 4095,
      "shard numbers held (required without 'instances')"},
     {"index_versions", setting_type::integer_list, setting_value{std::vector<std::int64_t>{1}}, 1, 1e12,
      "index versions held"},
     {"instances", setting_type::text_list, setting_value{std::vector<std::string>{}}, 0, 0,
-     "several back ends in this process: one entry each, its shards as \"0,1\"; replaces 'shards'"},
-    {"slots", setting_type::integer, setting_value{std::int64_t{2}}, 1, 256, "requests run at once"},
+     "several backend servers in this process: the shards of each one, as \"0,1\"; replaces 'shards'"},
+    {"slots", setting_type::integer, setting_value{std::int64_t{2}}, 1, 256, "requests run concurrently"},
     {"max_connections", setting_type::integer, setting_value{std::int64_t{25}}, 1, 100000,
-     "connections accepted; more are closed at once"},
+     "largest number of connections; further ones are closed on accept"},
     {"listen.host", setting_type::text, setting_value{std::string("127.0.0.1")}, 0, 0, "address to bind"},
     {"listen.port", setting_type::integer, setting_value{std::int64_t{0}}, 0, 65535, "TCP port; 0 picks one"},
     {"ready_file", setting_type::text, setting_value{std::string()}, 0, 0, "file that receives the bound port"},
     {"corpus.directory", setting_type::text, setting_value{std::string("/usr/share/games/fortunes")}, 0, 0,
-     "folder of the fortunes package"},
+     "directory of the fortunes package"},
     {"corpus.max_documents", setting_type::integer, setting_value{std::int64_t{0}}, 0, 10000000,
-     "documents read (0: all)"},
+     "largest number of documents read (0: all)"},
     {"work_ms", setting_type::floating, setting_value{0.0}, 0, 60000,
-     "mean time of one request on top of the search itself, in milliseconds"},
+     "mean simulated run time of a request, in addition to the search itself, in milliseconds"},
     {"cold_start.ms", setting_type::integer, setting_value{std::int64_t{0}}, 0, 600000,
      "time after the start during which requests take longer, in milliseconds"},
     {"cold_start.extra_ms", setting_type::integer, setting_value{std::int64_t{0}}, 0, 60000,
-     "how much longer they take, in milliseconds"},
+     "additional run time of a request during the cold start, in milliseconds"},
     {"drain_ms", setting_type::integer, setting_value{std::int64_t{5000}}, 0, 600000,
-     "longest wait for requests in flight at SIGTERM, in milliseconds"},
+     "longest wait for requests in flight after SIGTERM, in milliseconds"},
 };
 
-/** One back end of this process. */
+/** One backend server of this process. */
 struct instance {
-    backend_service service; ///< Its searches and writes.
-    h2_server server;        ///< Its listener.
-    /** @param config holdings. @param corpus documents. @param listen address and limits. */
+    backend_service service; ///< Runs the searches and writes.
+    h2_server server;        ///< HTTP/2 server.
+    /** @param config configuration. @param corpus documents. @param listen address and limits. */
     instance(backend_config config, std::vector<document> const& corpus, server_options listen)
         : service(std::move(config), corpus),
           server(std::move(listen),
@@ -52,7 +52,7 @@
     }
 };
 
-/** @return the shard numbers written as "0,1". */
+/** @return the shard numbers in a list such as "0,1". */
 std::vector<std::int64_t> parse_shards(std::string const& text)
 {
     std::vector<std::int64_t> shards;
@@ -63,7 +63,7 @@
     return shards;
 }
 
-/** @return what one back end named @p name holds. */
+/** @return the configuration of the backend server @p name, which holds @p shards. */
 backend_config make_config(settings const& config, std::string const& name, std::vector<std::int64_t> const& shards)
 {
     backend_config out;
@@ -72,12 +72,12 @@
     held_version held;
     held.shard_count = static_cast<std::int32_t>(config.integer("shard_count"));
     if (shards.empty()) {
-        throw error(error_kind::bad_settings, "back end '" + name + "' holds no shard.",
+        throw error(error_kind::bad_settings, "backend server '" + name + "' holds no shard.",
                     "List its shards in 'shards' or 'instances'.");
     }
     for (auto shard : shards) {
         if (shard < 0 || shard >= held.shard_count) {
-            throw error(error_kind::bad_settings, "shard " + std::to_string(shard) + " is not below shard_count.",
+            throw error(error_kind::bad_settings, "shard " + std::to_string(shard) + " is not less than shard_count.",
                         "List only shards from 0 to shard_count - 1.");
         }
         held.shards.push_back(static_cast<std::int32_t>(shard));
@@ -93,7 +93,7 @@
     return out;
 }
 
-/** @return the configurations of every back end of this process. */
+/** @return the configurations of all backend servers of this process. */
 std::vector<backend_config> make_configs(settings const& config)
 {
     std::string const& name = config.text("name");
@@ -105,7 +105,7 @@
     return out;
 }
 
-/** Runs the back ends until SIGTERM. */
+/** Runs the backend servers until SIGTERM. */
 int run(settings const& config, std::vector<std::string> const&)
 {
     install_stop_signals();
@@ -131,7 +131,7 @@
     std::size_t left = 0;
     for (auto const& item : running)
         left += item->server.drain(milliseconds(config.integer("drain_ms")));
-    LOG4CPLUS_INFO(logger, "stopped; requests cut off: " << left);
+    LOG4CPLUS_INFO(logger, "stopped; requests not finished: " << left);
     return 0;
 }
 
@@ -141,5 +141,5 @@
 int main(int argc, char const** argv)
 {
     using namespace cornelspring;
-    return run_program({"cornel-backend", "back-end stand-in", backend_settings}, argc, argv, run);
+    return run_program({"cornel-backend", "stand-in for backend servers", backend_settings}, argc, argv, run);
 }
--- a/src/store/kv_store.cpp
+++ b/src/store/kv_store.cpp
@@ -1,4 +1,4 @@
-/** @file kv_store.cpp Keys, revisions, transactions, leases and watch history of the store stand-in. */
+/** @file kv_store.cpp Items, revisions, transactions, leases and watch history of the store stand-in. */
 #include "kv_store.hpp"
 
 namespace cornelspring {
@@ -110,7 +110,7 @@
     switch (op.op) {
     case txn_op::kind::put: {
         put(op.key, op.value, op.lease);
-        m_revision_open = true; // the rest of the transaction shares this revision
+        m_revision_open = true; // All writes of a transaction have the same revision.
         break;
     }
     case txn_op::kind::remove:
@@ -157,7 +157,7 @@
 {
     auto found = m_leases.find(id);
     if (found == m_leases.end()) {
-        throw error(error_kind::not_found, "lease " + std::to_string(id) + " has lapsed or never existed.",
+        throw error(error_kind::not_found, "lease " + std::to_string(id) + " has expired or never existed.",
                     "Grant a new lease and write the keys again.");
     }
     found->second.expiry = now + std::chrono::seconds(found->second.ttl_s);
@@ -197,8 +197,8 @@
 {
     if (after < m_compacted) {
         throw error(error_kind::conflict,
-                    "revision " + std::to_string(after) + " is compacted (oldest kept " + std::to_string(m_compacted) +
-                        ").",
+                    "revision " + std::to_string(after) +
+                        " is compacted (oldest available: " + std::to_string(m_compacted) + ").",
                     "Read the whole range again and watch from its revision.");
     }
     std::vector<watch_event> events;
--- a/src/store/main.cpp
+++ b/src/store/main.cpp
@@ -1,4 +1,4 @@
-/** @file main.cpp cornel-store: stand-in for the platform's key-value service (etcd v3 JSON gateway shape). */
+/** @file main.cpp cornel-store: stand-in for the platform's key-value store, with the API of etcd's v3 JSON gateway. */
 #include "store_service.hpp"
 
 #include <cornelspring/transport.hpp>
@@ -12,9 +12,9 @@
     {"listen.port", setting_type::integer, setting_value{std::int64_t{2379}}, 0, 65535, "TCP port; 0 picks one"},
     {"ready_file", setting_type::text, setting_value{std::string()}, 0, 0, "file that receives the bound port"},
     {"history_limit", setting_type::integer, setting_value{std::int64_t{100000}}, 100, 10000000,
-     "events kept for watches"},
+     "number of events held for watches"},
     {"max_body_bytes", setting_type::integer, setting_value{std::int64_t{1 << 20}}, 1024, 16 << 20,
-     "largest request body in bytes (the platform holds values up to 1 MB)"},
+     "largest request body in bytes (the platform accepts values of up to 1 MB)"},
 };
 
 /** Runs the store until SIGTERM. */
@@ -44,5 +44,5 @@
 int main(int argc, char const** argv)
 {
     using namespace cornelspring;
-    return run_program({"cornel-store", "key-value store stand-in", store_settings}, argc, argv, run);
+    return run_program({"cornel-store", "stand-in for the key-value store", store_settings}, argc, argv, run);
 }
--- a/src/store/store_service.cpp
+++ b/src/store/store_service.cpp
@@ -1,20 +1,20 @@
-/** @file store_service.cpp Request routing of the store stand-in. */
+/** @file store_service.cpp HTTP API, watches and faults of the store stand-in. */
 #include "store_service.hpp"
 
 namespace cornelspring {
 namespace {
 
-/** Longest a watch waits before answering with no events. */
+/** Longest time after which a watch without events gets an empty response. */
 constexpr milliseconds default_watch_wait{5000};
-/** How long a lost reply is held: longer than any client waits, so the client sees no answer. */
+/** Delay of a lost response: longer than any client waits, so that the client receives none. */
 constexpr milliseconds lost_response_hold{120000};
-/** Seconds a client should wait during an outage before calling again. */
+/** Retry-after during an outage, in seconds. */
 constexpr int outage_retry_after_s = 1;
 
-/** @return the key of a request body, decoded. */
+/** @return the decoded key of a request body. */
 std::string key_of(nlohmann::json const& body) { return base64_decode(body.at("key").get<std::string>()); }
 
-/** @return the range end of a request body, decoded, or "". */
+/** @return the decoded range end of a request body, or "" when it has none. */
 std::string range_end_of(nlohmann::json const& body)
 {
     return body.contains("range_end") ? base64_decode(body["range_end"].get<std::string>()) : std::string{};
@@ -74,7 +74,7 @@
         auto const kvs = m_store.range(key_of(body), range_end_of(body));
         return {{"header", header()}, {"kvs", kvs}, {"count", std::to_string(kvs.size())}};
     }
-    throw error(error_kind::not_found, "no store API at '" + path + "'.", "Use a path of etcd's v3 JSON gateway.");
+    throw error(error_kind::not_found, "no store API at '" + path + "'.", "Use a path of the etcd v3 JSON gateway.");
 }
 
 void store_service::handle(http_request const& request, reply_fn reply)
@@ -94,7 +94,7 @@
         return;
     }
     if (now < m_faults.outage_until || refused_by_fault(request.path)) {
-        reply(error_response(error(error_kind::unavailable, "the store is in an outage.", "Call again later."),
+        reply(error_response(error(error_kind::unavailable, "the store has a simulated outage.", "Call again later."),
                              outage_retry_after_s));
         return;
     }
