--- a/src/store/kv_store.cpp
+++ b/src/store/kv_store.cpp
@@ -183,13 +183,13 @@
 
 std::vector<std::int64_t> kv_store::expire(time_point now)
 {
-    std::vector<std::int64_t> lapsed;
+    std::vector<std::int64_t> expired;
     for (auto const& [id, lease] : m_leases) {
-        if (lease.expiry <= now) lapsed.push_back(id);
+        if (lease.expiry <= now) expired.push_back(id);
     }
-    for (auto id : lapsed)
+    for (auto id : expired)
         revoke(id);
-    return lapsed;
+    return expired;
 }
 
 std::vector<watch_event> kv_store::events_after(std::int64_t after, std::string const& key,
