--- a/tests/stand_in/main.cpp
+++ b/tests/stand_in/main.cpp
@@ -1,4 +1,4 @@
-/** @file main.cpp cornel-stand-in: the users' platform played on loopback, for tests and the soak. */
+/** @file main.cpp cornel-stand-in: stand-in for the users' platform on loopback, for tests and the soak. */
 #include "platform_store.hpp"
 #include "shard_server.hpp"
 
@@ -10,26 +10,27 @@
 using namespace cornelspring::testing;
 using nlohmann::json;
 
-/** Settings. */
+/** Settings of cornel-stand-in. */
 std::vector<setting_def> const stand_in_settings = {
     {"port", setting_type::integer, setting_value{std::int64_t{0}}, 0, 65535,
-     "port of the store, or of the control API"},
+     "port of the store or of the control API; 0 picks one"},
     {"ready_file", setting_type::text, setting_value{std::string()}, 0, 0, "file that receives the bound port"},
     {"services", setting_type::text_list, setting_value{std::vector<std::string>{}}, 0, 0,
-     "services of the backend servers"},
+     "services; each has its own backend servers"},
     {"domains", setting_type::text_list, setting_value{std::vector<std::string>{"d1"}}, 0, 0,
-     "failure domains, one for each replica of a service in turn"},
-    {"replicas", setting_type::integer, setting_value{std::int64_t{2}}, 1, 10, "backend servers of each service"},
-    {"name", setting_type::text, setting_value{std::string("i")}, 0, 0, "prefix of the backend servers' ids"},
+     "failure domains, assigned to the backend servers in rotation"},
+    {"replicas", setting_type::integer, setting_value{std::int64_t{2}}, 1, 10,
+     "number of backend servers of each service"},
+    {"name", setting_type::text, setting_value{std::string("i")}, 0, 0, "prefix of the ids of the backend servers"},
 };
 
-/** Stops the loop on SIGTERM. */
+/** Stops the loop on SIGTERM or SIGINT. */
 void stop_on_signals(event_loop& loop)
 {
     loop.on_signals({SIGTERM, SIGINT}, [&loop](int) { loop.stop(); });
 }
 
-/** Runs the store. */
+/** Runs the store until it is stopped. */
 int run_store(settings const& config)
 {
     event_loop loop;
@@ -40,7 +41,8 @@
     return 0;
 }
 
-/** Backend servers with their control API: /entries, /journal, /behave. */
+/** Backend servers with a control API: /entries (their registrations), /journal (received requests), /behave (faults).
+ */
 class shard_fleet {
 public:
     explicit shard_fleet(settings const& config)
@@ -63,7 +65,7 @@
         auto const port = m_control.listen({"127.0.0.1", static_cast<std::uint16_t>(config.integer("port"))}, true);
         write_file_atomic(config.text("ready_file"), std::to_string(port));
     }
-    /** Serves until stopped. */
+    /** Serves requests until it is stopped. */
     void run() { m_loop.run(); }
 
 private:
@@ -125,10 +127,10 @@
     caller_server m_control;                              ///< Control API.
     std::vector<std::unique_ptr<shard_server>> m_servers; ///< Backend servers.
     std::map<std::string, std::string> m_domains;         ///< Failure domain by id.
-    std::vector<journal_entry> m_journal;                 ///< What arrived.
+    std::vector<journal_entry> m_journal;                 ///< Received requests.
 };
 
-/** Runs what the first argument names. */
+/** Runs the component that the first argument names. */
 int run(settings const& config, std::vector<std::string> const& args)
 {
     if (args.size() == 1 && args[0] == "store") return run_store(config);
@@ -137,7 +139,7 @@
         fleet.run();
         return 0;
     }
-    throw error(error_kind::bad_settings, "no part named.",
+    throw error(error_kind::bad_settings, "no component named.",
                 "Run 'cornel-stand-in store' or 'cornel-stand-in backends'.");
 }
 
@@ -145,6 +147,6 @@
 
 int main(int argc, char const** argv)
 {
-    return run_program({"cornel-stand-in", "the users' platform played on loopback", stand_in_settings}, argc, argv,
-                       run);
+    return run_program({"cornel-stand-in", "stand-in for the users' platform on loopback", stand_in_settings}, argc,
+                       argv, run);
 }
--- a/tests/stand_in/platform_store.cpp
+++ b/tests/stand_in/platform_store.cpp
@@ -1,4 +1,4 @@
-/** @file platform_store.cpp Stand-in for the users' platform store. */
+/** @file platform_store.cpp Stand-in for the store of the users' platform. */
 #include "platform_store.hpp"
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 
 using nlohmann::json;
 
-/** @return the percent-decoded value of @p name in the query of @p target. */
+/** @return the percent-decoded value of the parameter @p name in the query of @p target. */
 std::string query_value(std::string const& target, std::string const& name)
 {
     auto at = target.find('?');
@@ -32,7 +32,7 @@
     return {};
 }
 
-/** @return a status without a body. */
+/** @return a response without a body. */
 http_response status_only(int status)
 {
     http_response response;
@@ -40,7 +40,7 @@
     return response;
 }
 
-/** Items on one page. */
+/** Largest number of items in one page of a range response. */
 constexpr std::size_t page_size = 50;
 
 } // namespace
--- a/tests/stand_in/shard_server.cpp
+++ b/tests/stand_in/shard_server.cpp
@@ -1,4 +1,4 @@
-/** @file shard_server.cpp Stand-in for backend servers on the users' platform. */
+/** @file shard_server.cpp Stand-in for a backend server of the users' platform. */
 #include "shard_server.hpp"
 
 namespace cornelspring::testing {
--- a/tests/stand_in/shard_server.hpp
+++ b/tests/stand_in/shard_server.hpp
@@ -1,4 +1,4 @@
-/** @file shard_server.hpp Stand-in for backend servers on the users' platform, with faults and a journal. */
+/** @file shard_server.hpp Stand-in for a backend server of the users' platform, with faults and a journal. */
 #pragma once
 
 #include <cornelspring/gateway.hpp>
@@ -7,76 +7,77 @@
 
 namespace cornelspring::testing {
 
-/** What a backend server does with the next requests. */
+/** Behaviour of a backend server for the next requests. */
 struct shard_behaviour {
-    /** One of: ok, shed, error, hang, reset, silent_run (runs, answer lost), extra (a second answer after it),
-     *  late_extra (the second answer comes before the next one), unframed (no length), truncated, no_signature,
-     *  encoded, early (answers before the body is in). */
+    /** One of: ok, shed (rejects with 503, not run), error (500), hang (no response), reset and silent_run (run, then
+     *  close the connection without a response), extra (sends the response twice), late_extra (sends the response again
+     *  before the next response), unframed (no content-length, then closes), truncated (closes before the last bytes),
+     *  no_signature (no server-stamp), encoded (claims gzip), early (rejects with 503 before the body is complete). */
     std::string mode = "ok";
-    int work_ms = 5; ///< Time a request takes.
-    int times = -1;  ///< Requests it applies to; -1: all.
+    int work_ms = 5; ///< Simulated run time of a request.
+    int times = -1;  ///< Number of requests to which it applies; -1 for all.
 };
 
-/** A request that reached a backend server. */
+/** A request that a backend server received. */
 struct journal_entry {
-    std::string request_id; ///< Caller's id.
-    std::string backend;    ///< Backend server.
-    std::string service;    ///< Service.
+    std::string request_id; ///< Id of the request, set by the caller.
+    std::string backend;    ///< Id of the backend server.
+    std::string service;    ///< Service of the backend server.
     std::string line;       ///< Method and path.
     std::string body;       ///< Body.
-    bool ran = false;       ///< It ran.
-    std::int64_t at_ms = 0; ///< Steady clock.
+    bool ran = false;       ///< Whether it ran.
+    std::int64_t at_ms = 0; ///< Time of receipt, steady clock, in milliseconds.
 };
 
-/** One backend server: serves one request at a time on each connection. */
+/** One backend server. Serves one request at a time on each connection. */
 class shard_server {
 public:
-    /** @param loop event loop. @param id its id. @param service its service. @param journal receives what arrives. */
+    /** @param loop event loop. @param id id. @param service service. @param journal records the received requests. */
     shard_server(event_loop& loop, std::string id, std::string service, std::vector<journal_entry>& journal);
     /** @return the bound port. */
     std::uint16_t port() const { return m_port; }
-    /** @return its id. */
+    /** @return the id. */
     std::string const& id() const { return m_id; }
-    /** @return its service. */
+    /** @return the service. */
     std::string const& service() const { return m_service; }
-    /** Sets what it does. */
+    /** Sets the behaviour for the next requests. */
     void set_behaviour(shard_behaviour behaviour) { m_behaviour = std::move(behaviour); }
-    /** From now on a request for @p path crashes it once it runs, whatever it does with others: all its connections
-     *  close, and it refuses new ones for @p down. */
+    /** Makes requests for @p path crash the server when they run, unless the behaviour rejects them: all connections
+     *  are closed, and new ones are refused for @p down. An empty path ends this. */
     void crash_on(std::string path, milliseconds down);
-    /** Changes its id, as when another backend server gets the address. */
+    /** Changes the id, to simulate that another backend server now uses the address. */
     void rename(std::string id) { m_id = std::move(id); }
-    /** @return the records it holds. @param request_id request. */
+    /** @return the records in the response. @param service service. @param request_id id of the request. */
     static std::string records(std::string const& service, std::string const& request_id);
 
 private:
-    /** A connection. */
+    /** An open connection. */
     struct connection {
-        std::unique_ptr<tcp_stream> stream;     ///< Connection.
-        std::unique_ptr<message_reader> reader; ///< Reader.
-        std::string late_response;              ///< Bytes that go out before the next answer.
+        std::unique_ptr<tcp_stream> stream;     ///< Stream.
+        std::unique_ptr<message_reader> reader; ///< Parser of the requests.
+        std::string late_response;              ///< Bytes to send before the next response.
     };
     void on_bytes(std::uint64_t number, std::string_view bytes);
     void on_request(std::uint64_t number, http_request request);
     void respond(std::uint64_t number, http_request const& request, std::string const& mode);
     std::string consume_mode();
-    /** Listens at @p port; 0 picks one. */
+    /** Listens on @p port; 0 picks a free port. */
     void listen(std::uint16_t port);
-    /** Ends all connections, and is back after a while. */
+    /** Closes all connections and the listener, and listens again after m_down_time. */
     void crash();
     http_response make_response(http_request const& request) const;
 
-    event_loop& m_loop;                                          ///< Event loop.
-    std::string m_id;                                            ///< Id.
-    std::string m_service;                                       ///< Service.
-    std::vector<journal_entry>& m_journal;                       ///< What arrived.
-    shard_behaviour m_behaviour;                                 ///< What it does.
-    std::string m_crash_path;                                    ///< What crashes it; empty: nothing.
-    milliseconds m_down_time{0};                                 ///< Time until it is back after a crash.
-    std::unordered_map<std::uint64_t, connection> m_connections; ///< By number.
-    std::uint64_t m_last_number = 0;                             ///< Last number.
+    event_loop& m_loop;                    ///< Event loop.
+    std::string m_id;                      ///< Id.
+    std::string m_service;                 ///< Service.
+    std::vector<journal_entry>& m_journal; ///< Received requests.
+    shard_behaviour m_behaviour;           ///< Behaviour for the next requests.
+    std::string m_crash_path;              ///< Path of the requests that crash the server; empty for none.
+    milliseconds m_down_time{0};           ///< Time after a crash until the server listens again.
+    std::unordered_map<std::uint64_t, connection> m_connections; ///< Open connections by number.
+    std::uint64_t m_last_number = 0;                             ///< Number of the most recent connection.
     std::uint16_t m_port = 0;                                    ///< Bound port.
-    std::unique_ptr<tcp_listener> m_listener;                    ///< Listener; null while it is down.
+    std::unique_ptr<tcp_listener> m_listener;                    ///< Listener; null after a crash.
 };
 
 } // namespace cornelspring::testing
--- a/tests/test_index.cpp
+++ b/tests/test_index.cpp
@@ -1,4 +1,4 @@
-/** @file test_index.cpp Partitioning the corpus and searching a shard. */
+/** @file test_index.cpp Partition of the corpus into shards, and search in a shard. */
 #include "../src/backend/corpus_index.hpp"
 
 #include <doctest/doctest.h>
@@ -14,7 +14,7 @@
 
 } // namespace
 
-TEST_CASE("every document is in exactly one shard of each version")
+TEST_CASE("every document belongs to exactly one shard of each index version")
 {
     auto const corpus = small_corpus();
     for (std::int64_t version = 1; version <= 3; ++version) {
@@ -25,7 +25,7 @@
     }
 }
 
-TEST_CASE("search ranks by term frequency and returns at most k")
+TEST_CASE("search ranks by term frequency and returns at most k hits")
 {
     auto const corpus = small_corpus();
     shard_index const all(corpus, 0, 1, 1);
--- a/tests/test_kv_store.cpp
+++ b/tests/test_kv_store.cpp
@@ -1,11 +1,11 @@
-/** @file test_kv_store.cpp The store stand-in's revisions, compare-and-swap, leases and history. */
+/** @file test_kv_store.cpp Revisions, compare-and-swap, leases and history of the store stand-in. */
 #include "../src/store/kv_store.hpp"
 
 #include <doctest/doctest.h>
 
 using namespace cornelspring;
 
-TEST_CASE("every write raises the revision and a transaction is one revision")
+TEST_CASE("every write increments the revision and a transaction has a single revision")
 {
     kv_store store;
     auto const first = store.put("a", "1", 0);
@@ -20,7 +20,7 @@
     CHECK(store.range("c", "").front().mod_revision == store.range("d", "").front().mod_revision);
 }
 
-TEST_CASE("compare-and-swap on mod_revision lets only one of two racing writers win")
+TEST_CASE("compare-and-swap on mod_revision succeeds for only one of two concurrent writers")
 {
     kv_store store;
     auto const rev = store.put("k", "base", 0);
@@ -39,7 +39,7 @@
     CHECK_FALSE(store.txn(create).succeeded);
 }
 
-TEST_CASE("a lapsed lease deletes its keys and refuses renewal")
+TEST_CASE("an expired lease deletes its keys and cannot be renewed")
 {
     kv_store store;
     auto const now = clock::now();
@@ -53,7 +53,7 @@
     CHECK_THROWS_AS(store.put("member", "x", lease), error);
 }
 
-TEST_CASE("watch history gives events after a revision and refuses compacted ones")
+TEST_CASE("the watch history returns events after a revision and rejects compacted revisions")
 {
     kv_store store(3);
     auto const start = store.revision();
