--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -1,4 +1,4 @@
-"""The processes of a bench run on loopback: starting, declaring resources, reading their use, stopping."""
+"""Starts and stops the processes of a benchmark on loopback, declares their resources and reads their usage."""
 import json
 import pathlib
 import signal
@@ -12,7 +12,7 @@
 
 
 class Fleet:
-    """The processes of one run."""
+    """The processes of one benchmark run."""
 
     def __init__(self, folder, log_level="warn"):
         self.folder = pathlib.Path(folder)
@@ -20,7 +20,7 @@
         self.children = []
 
     def start(self, name, binary, settings):
-        """Starts a process; returns the ports that it wrote to its ready file."""
+        """Starts a process; returns the ports from its ready file."""
         ready = self.folder / f"{name}.port"
         settings = dict(settings, ready_file=json.dumps(str(ready)))
         args = [str(BIN / binary), "--log-level", self.log_level]
@@ -32,7 +32,7 @@
             if ready.exists():
                 return [int(port) for port in ready.read_text().split(",")]
             time.sleep(0.1)
-        raise RuntimeError(f"{name} did not get ready; see {self.folder}/{name}.log")
+        raise RuntimeError(f"{name} did not start; see {self.folder}/{name}.log")
 
     def stop(self):
         for child in self.children:
@@ -45,7 +45,7 @@
 
 
 def start_backends(fleet, spec):
-    """Starts the service's back ends, several to a process; returns (name, port, shards) of each."""
+    """Starts the backend servers of the service, several per process; returns (name, port, shards) of each."""
     service, shards, replicas, slots, connections = spec["service"]
     layout = [[shard] for shard in range(shards) for _ in range(replicas)]
     backends = []
@@ -61,7 +61,7 @@
 
 
 def apply_resources(fleet, spec, store, backends):
-    """Declares the service and its back ends through cornel-ctl."""
+    """Declares the service and its backend servers with cornel-ctl."""
     service, shards, _, slots, connections = spec["service"]
     resources = [{"kind": "service", "name": service, "spec": {"customer": spec["customer"], "shards": shards}}]
     for name, port, held in backends:
@@ -75,7 +75,7 @@
 
 
 def usage(pid):
-    """Returns (processor seconds, resident MB) of a process, from /proc."""
+    """Returns (CPU seconds, resident MB) of a process, from /proc."""
     fields = pathlib.Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     ticks = int(fields[11]) + int(fields[12])
     status = pathlib.Path(f"/proc/{pid}/status").read_text()
@@ -84,7 +84,7 @@
 
 
 def metrics(address):
-    """Returns an entry node's metrics as {name with labels: value}."""
+    """Returns the metrics of an entry node as {name with labels: value}."""
     text = urllib.request.urlopen(f"http://{address}/metrics", timeout=10).read().decode()
     pairs = (line.rsplit(" ", 1) for line in text.splitlines() if line and not line.startswith("#"))
     return {name: float(value) for name, value in pairs}
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -1,9 +1,10 @@
 #!/usr/bin/env python3
-"""Randomised fault soak: the real programs as processes on loopback, faults from outside, promises checked.
+"""Randomised soak test with fault injection: runs the real programs as processes on loopback and checks invariants.
 
-Gateways reach the store and the backend servers through TCP proxies of this script, which delay, reset, cut and
-silence connections; gateways are stopped, killed and paused by signals. What callers and backend servers see is
-checked while it runs. One seed gives one plan of faults; timing on the machine still varies.
+Gateways reach the store and the backend servers through TCP proxies in this script, which delay, reset, refuse or
+stall connections. Gateways are stopped, killed and paused with signals. The responses that callers receive and the
+requests that backend servers receive are checked during the run and after it. A seed determines the sequence of
+faults; their exact timing depends on the machine.
 """
 import argparse
 import asyncio
@@ -21,23 +22,23 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent.parent
 SHARDS = ["g0", "g1", "g2", "g3", "g4", "g5"]
 HOST = "h.example"
-REFUSALS = {503, 429, 408, 421}  # Each promises that the request has not run and will not run.
-DRAIN_S = 3.0  # A draining backend server gets no new work after this.
-CONFIG_APPLY_S = 3.0  # A configuration is in force everywhere after this.
-QUARANTINE_KNOWN_S = 5.0  # A request that has crashed three servers is known to all gateways after this,
-MAX_REPEATS = 3  # and reaches servers in so many repetitions at most from then on.
-EVACUATE_S = 3.0  # An evacuated failure domain gets nothing new after this.
-HOME = "d1"  # Failure domain whose region alone may serve the route with homes.
-COLD_S = 3.0  # A cold backend server stays so for this,
-COLD_PER_S = 4  # bears so many requests a second,
-COLD_MAX_PER_S = COLD_PER_S * 1.5 + 5  # gets so many at most from all gateways,
-COLD_NOTIFY_S = 1.0  # once they have heard of it.
-STALL_CHECK_S, STALL_MIN_S = 0.01, 0.1  # How often this process looks whether it stands still, and from when it counts.
-RECOVERY_S = 12.0  # After the last fault everything works again within this.
+REFUSALS = {503, 429, 408, 421}  # Status codes which state that the request has not run and will not run.
+DRAIN_S = 3.0  # Time after which a draining backend server receives no new requests.
+CONFIG_APPLY_S = 3.0  # Time after which every gateway applies a written configuration.
+QUARANTINE_KNOWN_S = 5.0  # Time after which all gateways have received the quarantine of a request (three crashes).
+MAX_REPEATS = 3  # Largest number of repetitions of a quarantined request that reach backend servers from then on.
+EVACUATE_S = 3.0  # Time after which an evacuated failure domain receives no new requests.
+HOME = "d1"  # Failure domain of the home region: the only region allowed for the route with home_regions.
+COLD_S = 3.0  # Time for which a backend server is cold.
+COLD_PER_S = 4  # Requests per second that the configuration allows a cold backend server.
+COLD_MAX_PER_S = COLD_PER_S * 1.5 + 5  # Largest number of requests within a second from all gateways together.
+COLD_NOTIFY_S = 1.0  # Time after which the gateways have received the cold registration; the rate is checked from then.
+STALL_CHECK_S, STALL_MIN_S = 0.01, 0.1  # Interval of the check for stalls of this process; shortest reported stall.
+RECOVERY_S = 12.0  # Time after the last fault within which all gateways are ready again.
 
 
 class Proxy:
-    """A TCP proxy to one target: modes ok, delay, silent (nothing passes), refuse (new ones are reset)."""
+    """TCP proxy to one target. Modes: ok, delay, silent (forwards nothing), refuse (resets new connections)."""
 
     def __init__(self, target):
         self.target, self.mode, self.delay_s, self.port = target, "ok", 0.0, 0
@@ -60,7 +61,7 @@
         try:
             await asyncio.gather(self.forward(reader, up_writer), self.forward(up_reader, writer))
         except asyncio.CancelledError:
-            return  # The run is over.
+            return  # The run has finished.
         self.writers -= {writer, up_writer}
 
     async def forward(self, reader, writer):
@@ -82,7 +83,7 @@
 
 
 async def exchange(reader, writer, request):
-    """Sends raw bytes and reads one response. Returns (status, headers, body), or None when none came whole."""
+    """Sends raw bytes and reads one response. Returns (status, headers, body); raises when it is incomplete."""
     writer.write(request)
     await writer.drain()
     head = await reader.readuntil(b"\r\n\r\n")
@@ -93,7 +94,7 @@
 
 
 async def call(port, method, path, body=None, host="127.0.0.1"):
-    """One request on a connection of its own, with a JSON answer."""
+    """Sends one request on a new connection. Returns (status, JSON body)."""
     reader, writer = await asyncio.open_connection(host, port)
     data = json.dumps(body).encode() if body is not None else b""
     request = f"{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(data)}\r\n\r\n".encode() + data
@@ -103,22 +104,22 @@
 
 
 class Soak:
-    """One run."""
+    """One soak run: processes, proxies, callers, faults and checks."""
 
     def __init__(self, seed, seconds, gateways, folder):
         self.random, self.seconds, self.folder = random.Random(seed), seconds, folder
         self.gateway_count, self.processes, self.proxies = gateways, {}, {}
         self.violations, self.stats = [], collections.Counter()
-        self.config_version, self.configs = 0, {}  # version -> (shards, time of acknowledgement)
-        self.disturbed_until = {}  # name -> time until which a fault touches it
-        self.outcomes = {}  # id of a write -> status or "cut"
-        self.dropped_connections = []  # (id, gateway, time): a connection that ended without an answer
-        self.drained = {}  # backend -> time it was drained
-        self.stalls = []  # (begin, end) of the times in which this process stood still
-        self.stored_items = {}  # key -> value, what operators and backend servers keep in the store
-        self.store_available = asyncio.Event()  # Unset while the store is away and comes back from a copy.
+        self.config_version, self.configs = 0, {}  # version -> (shards, time of the acknowledged write)
+        self.disturbed_until = {}  # name of a process or proxy -> time until which a fault may affect it
+        self.outcomes = {}  # request id of a write -> status, or "cut" without a response
+        self.dropped_connections = []  # (request id, gateway, time, exception) of requests without a response
+        self.drained = {}  # backend server -> time at which it was drained
+        self.stalls = []  # (start, end) of the times in which this process stalled
+        self.stored_items = {}  # key -> value of the items written by operators and backend servers
+        self.store_available = asyncio.Event()  # Cleared while the store is unreachable and restored from a copy.
         self.store_available.set()
-        self.cold = set()  # backends that say that they are cold
+        self.cold = set()  # backend servers that are registered as cold
         self.net = f"127.{os.getpid() // 250 % 250 + 1}.{os.getpid() % 250 + 1}."
 
     def violation(self, text):
@@ -181,13 +182,13 @@
         self.configs[self.config_version] = (shards, time.monotonic())
 
     async def write_item(self, key, value):
-        """Writes what an operator or a backend server writes, and knows it for the store's return to a copy."""
+        """Writes an item of an operator or a backend server, and records it to rewrite it after a restore."""
         await self.store_available.wait()
         self.stored_items[key] = value
         await self.call_store("put", {"key": key, "value": value})
 
     async def remove_item(self, key):
-        """Removes what an operator wrote."""
+        """Removes an item of an operator."""
         await self.store_available.wait()
         self.stored_items.pop(key, None)
         await self.call_store("drop", {"key": key})
@@ -228,7 +229,7 @@
         self.violation(f"not all gateways ready within {limit_s} s")
 
     async def watch_stalls(self):
-        """Notes when this process, through which all connections to servers and the store go, stood still."""
+        """Records when this process stalled: all connections to the store and the backend servers pass through it."""
         while True:
             started = time.monotonic()
             await asyncio.sleep(STALL_CHECK_S)
@@ -241,7 +242,7 @@
     # ---- Callers ----
 
     async def caller(self, number):
-        """Sends requests over kept connections until told to stop."""
+        """Sends requests over keep-alive connections until the run stops the callers."""
         rng = random.Random(f"{number}-{self.random.random()}")
         connection, gateway = None, 1
         count = 0
@@ -282,7 +283,7 @@
         if kind in "qh":
             self.check_query(request_id, headers, body)
         elif not headers.get("server-stamp", "").endswith("." + request_id):
-            self.violation(f"{request_id}: an answer of another request: {headers.get('server-stamp')}")
+            self.violation(f"{request_id}: response of another request: {headers.get('server-stamp')}")
         elif kind == "w" and body != f"ran entry {request_id}".encode():
             self.violation(f"{request_id}: wrong body")
 
@@ -291,20 +292,20 @@
         missing = int(headers.get("missing-parts", "0"))
         services = [stamp.split("-")[1] for stamp in stamps]
         if any(not stamp.endswith("." + request_id) for stamp in stamps):
-            self.violation(f"{request_id}: a part of another request: {stamps}")
+            self.violation(f"{request_id}: shard response of another request: {stamps}")
         if len(set(services)) != len(services):
-            self.violation(f"{request_id}: two parts of one shard")
+            self.violation(f"{request_id}: two responses of one shard")
         if not any(set(services) <= set(shards) and len(services) + missing == len(shards)
                    for shards, _ in self.configs.values()):
-            self.violation(f"{request_id}: parts {services} and {missing} missing fit no configuration")
+            self.violation(f"{request_id}: parts {services} and {missing} missing match no configuration")
         records = [body[at:at + 16] for at in range(0, len(body), 16)]
         if len(body) != 64 or records != sorted(records, reverse=True):
-            self.violation(f"{request_id}: not the greatest records in order")
+            self.violation(f"{request_id}: records are not the greatest ones in descending order")
 
     # ---- Faults ----
 
     def mark_disturbed(self, name, for_s):
-        """Notes that a fault touches @p name, and for some seconds its consequences do."""
+        """Records that a fault and its consequences affect @p name for the given time."""
         self.disturbed_until[name] = max(self.disturbed_until.get(name, 0), time.monotonic() + for_s)
 
     async def fault_proxy(self, name):
@@ -343,8 +344,8 @@
             while process.poll() is None:
                 await asyncio.sleep(0.02)
             if how == "term" and process.returncode != 0:
-                self.violation(f"{name} ended with {process.returncode} after SIGTERM")
-            self.mark_disturbed(name, 3)  # Callers still hold its address.
+                self.violation(f"{name} exited with {process.returncode} after SIGTERM")
+            self.mark_disturbed(name, 3)  # Callers still use its address.
             await asyncio.sleep(self.random.uniform(0.05, 1))
             self.start_gateway(number)
             self.restarting.discard(name)
@@ -368,7 +369,7 @@
         await self.call_store("fault", {"mode": "ok", "deaf_watches": False, "lose_writes": 0})
 
     async def restore_store(self):
-        """The store is away and comes back from a copy some seconds old; operators and servers write again."""
+        """Restores the store from a copy some seconds old in an outage; operators and servers rewrite their items."""
         if not self.store_available.is_set():
             return
         await self.call_store("copy", {})
@@ -381,7 +382,7 @@
         await self.call_store("fault", {"mode": self.random.choice(["busy", "silent"])})
         await asyncio.sleep(for_s)
         if self.random.random() < 0.3:
-            await self.call_store("restore", {})  # Twice in a row.
+            await self.call_store("restore", {})  # Two restores in succession.
         await self.call_store("restore", {})
         await self.call_store("fault", {"mode": "ok", "deaf_watches": False, "lose_writes": 0})
         await asyncio.sleep(again_s)
@@ -390,7 +391,7 @@
         self.store_available.set()
 
     async def rewrite_items(self):
-        """Puts right what the copy has of operators and backend servers."""
+        """Brings the items of operators and backend servers up to date after a restore."""
         _, held = await self.call_store("keys", {})
         for key in held:
             if key.startswith(("op/", "servers/")) and key not in self.stored_items:
@@ -417,11 +418,11 @@
         del self.drained[name]
 
     def undisturbed_since(self, at):
-        """Whether no fault has touched the store or a gateway since @p at."""
+        """Returns whether no fault has affected the store or a gateway since @p at."""
         return all(self.disturbed_until.get(name, 0) < at for name in ["store", *(f"gw-{n}" for n in range(1, 99))])
 
     async def evacuate(self):
-        """One failure domain at a time gets nothing new, until it is taken back."""
+        """Evacuates one failure domain at a time: it must receive no new requests until the evacuation ends."""
         if self.evacuation_active:
             return
         self.evacuation_active = True
@@ -439,7 +440,7 @@
         self.evacuation_active = False
 
     async def mark_server_cold(self):
-        """One backend server says that it is cold; its pace is kept by all gateways together."""
+        """Registers a backend server as cold: all gateways together must not exceed its rate of requests."""
         name = self.random.choice([each for each in self.entries if each not in self.drained])
         if name in self.cold:
             return
@@ -452,13 +453,13 @@
         times = [each for each in times if at + COLD_NOTIFY_S < each < at + COLD_S]
         peak = max((sum(start <= each < start + 1 for each in times) for start in times), default=0)
         if peak > COLD_MAX_PER_S and self.undisturbed_since(at):
-            self.violation(f"{name}, cold since {at - self.started:.3f}, got {peak} requests in one second")
+            self.violation(f"{name}, cold since {at - self.started:.3f}, got {peak} requests within one second")
         await self.write_item(f"servers/{name}", self.entries[name])
         self.stats["cold servers"] += 1
         self.cold.discard(name)
 
     async def repeat_crashing_query(self):
-        """One query crashes each server that runs it, and comes again at any gateway."""
+        """Repeats a query that crashes each backend server that runs it, at random gateways."""
         if self.crashing_query_active:
             return
         self.crashing_query_active = True
@@ -475,7 +476,7 @@
                 await asyncio.wait_for(exchange(reader, writer, request.encode()), 2)
                 writer.close()
             except (OSError, asyncio.IncompleteReadError, asyncio.TimeoutError):
-                pass  # The gateway is stopped or paused; another one is next.
+                pass  # The gateway is stopped or paused; the next repetition may use another one.
             await asyncio.sleep(self.random.uniform(0.2, 1.0))
         await call(self.backends_port, "POST", "/behave", {"crash_path": ""})
         await self.check_crashing_query(path, sent)
@@ -494,11 +495,11 @@
             self.violation(f"{path} reached servers in {len(late)} repetitions after {known_at - self.started:.3f}: {late}")
 
     def undisturbed_before(self, at, gateway):
-        """Whether neither the store nor the gateway had a fault in the time in which it is told."""
+        """Returns whether no fault affected the store or the gateway in the last QUARANTINE_KNOWN_S before @p at."""
         return all(self.disturbed_until.get(name, 0) < at - QUARANTINE_KNOWN_S for name in ("store", f"gw-{gateway}"))
 
     async def faults(self):
-        """Starts faults at random times; they overlap."""
+        """Starts faults at random times; faults may overlap."""
         kinds = [lambda: self.fault_proxy("store"), lambda: self.fault_proxy(self.random.choice(list(self.entries))),
                  self.fault_gateway, self.fault_gateway, self.fault_backend, self.fault_backend, self.fault_store,
                  self.change_config, self.restore_store, self.drain_backend, self.repeat_crashing_query, self.evacuate,
@@ -509,10 +510,10 @@
             running.append(asyncio.create_task(self.random.choice(kinds)()))
         await asyncio.gather(*running)
 
-    # ---- The end ----
+    # ---- Final checks ----
 
     async def check_recovery(self):
-        """Every gateway serves, with the newest configuration."""
+        """Checks that every gateway serves queries with the most recent configuration."""
         await self.await_all_ready(RECOVERY_S)
         await asyncio.sleep(CONFIG_APPLY_S)
         shards = self.configs[self.config_version][0]
@@ -536,19 +537,19 @@
             runs[entry["id"]] += 1 if entry["ran"] else 0
         elsewhere = {e["id"] for e in journal if e["line"] == "GET /h/x" and self.entries[e["backend"]]["zone"] != HOME}
         if elsewhere:
-            self.violation(f"{len(elsewhere)} requests with homes reached servers elsewhere: {sorted(elsewhere)[:5]}")
+            self.violation(f"{len(elsewhere)} requests with homes reached other regions: {sorted(elsewhere)[:5]}")
         for request_id, outcome in self.outcomes.items():
             if runs[request_id] > 1:
                 self.violation(f"{request_id} ran {runs[request_id]} times")
             if outcome in REFUSALS and runs[request_id] > 0:
-                self.violation(f"{request_id} was answered {outcome} and ran")
+                self.violation(f"{request_id} was rejected with {outcome} and ran")
         for request_id, gateway, at, how in self.dropped_connections:
             undisturbed = self.disturbed_until.get(f"gw-{gateway}", 0) < at - 4
             if undisturbed and reached[request_id] > 0 and how != "TimeoutError":
-                self.violation(f"{request_id}: passed on, then cut by gw-{gateway} at {at - self.started:.3f} ({how})")
+                self.violation(f"{request_id}: reached a server, but cut by gw-{gateway} at {at - self.started:.3f} ({how})")
         for name, process in self.processes.items():
             if process.poll() not in (None, 0):
-                self.violation(f"{name} ended by itself with {process.returncode}")
+                self.violation(f"{name} exited unexpectedly with {process.returncode}")
 
     async def run(self):
         self.stop_callers, self.crashing_query_active, self.restarting = False, False, set()
@@ -574,8 +575,8 @@
 def main():
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=random.randrange(1 << 30))
-    parser.add_argument("--seeds", type=int, default=1, help="seeds to run, counted up from --seed")
-    parser.add_argument("--seconds", type=float, default=20, help="time in which faults begin")
+    parser.add_argument("--seeds", type=int, default=1, help="number of runs, with consecutive seeds from --seed")
+    parser.add_argument("--seconds", type=float, default=20, help="time during which faults are started")
     parser.add_argument("--gateways", type=int, default=3)
     args = parser.parse_args()
     failed = []
