--- a/src/backend/corpus_index.cpp
+++ b/src/backend/corpus_index.cpp
@@ -84,9 +84,9 @@
     auto const better = [](hit const& a, hit const& b) {
         return a.score != b.score ? a.score > b.score : a.doc < b.doc;
     };
-    std::size_t const keep = std::min(k, hits.size());
-    std::partial_sort(hits.begin(), hits.begin() + static_cast<std::ptrdiff_t>(keep), hits.end(), better);
-    hits.resize(keep);
+    std::size_t const result_count = std::min(k, hits.size());
+    std::partial_sort(hits.begin(), hits.begin() + static_cast<std::ptrdiff_t>(result_count), hits.end(), better);
+    hits.resize(result_count);
     return hits;
 }
 
--- a/tests/stand_in/platform_store.cpp
+++ b/tests/stand_in/platform_store.cpp
@@ -224,20 +224,20 @@
 
 http_response platform_store::lease_call(std::string const& path, http_request const& request, json const& body)
 {
-    std::string const keep = "/cornelspring/kv-keep/";
-    std::string const end = "/cornelspring/kv-lease-end/";
+    std::string const keepalive_prefix = "/cornelspring/kv-keep/";
+    std::string const revoke_prefix = "/cornelspring/kv-lease-end/";
     try {
         if (path == "/cornelspring/kv-lease") {
             auto const ttl_ms = body.at("ttl_ms").get<std::int64_t>();
             auto const lease = m_store.grant((ttl_ms + 999) / 1000, m_loop.now(), 0);
             return json_response(200, json{{"lease", lease}, {"ttl_ms", ttl_ms}}.dump());
         }
-        if (path.starts_with(keep)) {
-            auto const ttl_s = m_store.keepalive(std::stoll(path.substr(keep.size())), m_loop.now());
+        if (path.starts_with(keepalive_prefix)) {
+            auto const ttl_s = m_store.keepalive(std::stoll(path.substr(keepalive_prefix.size())), m_loop.now());
             return json_response(200, json{{"ttl_ms", ttl_s * 1000}}.dump());
         }
-        if (path.starts_with(end) && request.method == "DELETE") {
-            m_store.revoke(std::stoll(path.substr(end.size())));
+        if (path.starts_with(revoke_prefix) && request.method == "DELETE") {
+            m_store.revoke(std::stoll(path.substr(revoke_prefix.size())));
             return json_response(200, "{}");
         }
     } catch (error const&) {
