--- a/src/store/kv_store.cpp
+++ b/src/store/kv_store.cpp
@@ -199,7 +199,7 @@
         throw error(error_kind::conflict,
                     "revision " + std::to_string(after) +
                         " is compacted (oldest available: " + std::to_string(m_compacted) + ").",
-                    "Read the whole range again and watch from its revision.");
+                    "Read the complete range again and watch from its revision.");
     }
     std::vector<watch_event> events;
     for (auto const& event : m_history) {
