--- a/src/backend/corpus_index.cpp
+++ b/src/backend/corpus_index.cpp
@@ -1,4 +1,4 @@
-/** @file corpus_index.cpp Loading the corpus, partitioning it and searching one shard. */
+/** @file corpus_index.cpp Loads the corpus, partitions it and searches one shard. */
 #include "corpus_index.hpp"
 
 #include <algorithm>
@@ -38,7 +38,7 @@
         flush();
     }
     if (corpus.empty()) {
-        throw error(error_kind::not_found, "no documents under '" + directory + "'.",
+        throw error(error_kind::not_found, "no documents in '" + directory + "'.",
                     "Install Debian's fortunes package (scripts/setup does) or set corpus.directory.");
     }
     return corpus;
@@ -46,8 +46,8 @@
 
 std::int32_t shard_of(std::uint64_t doc, std::int64_t version, std::int32_t shard_count)
 {
-    auto const mixed = std::hash<std::string>{}(std::to_string(doc) + "/" + std::to_string(version));
-    return static_cast<std::int32_t>(mixed % static_cast<std::size_t>(shard_count));
+    auto const hash_value = std::hash<std::string>{}(std::to_string(doc) + "/" + std::to_string(version));
+    return static_cast<std::int32_t>(hash_value % static_cast<std::size_t>(shard_count));
 }
 
 shard_index::shard_index(std::vector<document> const& corpus, std::int32_t shard, std::int64_t version,
@@ -84,9 +84,9 @@
     auto const better = [](hit const& a, hit const& b) {
         return a.score != b.score ? a.score > b.score : a.doc < b.doc;
     };
-    std::size_t const keep = std::min(k, hits.size());
-    std::partial_sort(hits.begin(), hits.begin() + static_cast<std::ptrdiff_t>(keep), hits.end(), better);
-    hits.resize(keep);
+    std::size_t const result_count = std::min(k, hits.size());
+    std::partial_sort(hits.begin(), hits.begin() + static_cast<std::ptrdiff_t>(result_count), hits.end(), better);
+    hits.resize(result_count);
     return hits;
 }
 
