--- a/src/store/kv_store.cpp
+++ b/src/store/kv_store.cpp
@@ -1,4 +1,4 @@
-/** @file kv_store.cpp Keys, revisions, transactions, leases and watch history of the store stand-in. */
+/** @file kv_store.cpp Items, revisions, transactions, leases and watch history of the store stand-in. */
 #include "kv_store.hpp"
 
 namespace cornelspring {
@@ -76,20 +76,20 @@
         auto lease = m_leases.find(it->second.lease);
         if (lease != m_leases.end()) lease->second.keys.erase(key);
     }
-    key_value gone;
-    gone.key = key;
-    gone.mod_revision = open_revision();
-    record({true, gone});
+    key_value deleted;
+    deleted.key = key;
+    deleted.mod_revision = open_revision();
+    record({true, deleted});
     m_data.erase(it);
 }
 
 std::int64_t kv_store::remove(std::string const& key, std::string const& range_end)
 {
-    auto const doomed = range(key, range_end);
-    for (auto const& kv : doomed)
+    auto const matching = range(key, range_end);
+    for (auto const& kv : matching)
         erase_key(kv.key);
     m_revision_open = false;
-    return static_cast<std::int64_t>(doomed.size());
+    return static_cast<std::int64_t>(matching.size());
 }
 
 bool kv_store::holds(compare const& c) const
@@ -110,7 +110,7 @@
     switch (op.op) {
     case txn_op::kind::put: {
         put(op.key, op.value, op.lease);
-        m_revision_open = true; // the rest of the transaction shares this revision
+        m_revision_open = true; // All writes of a transaction have the same revision.
         break;
     }
     case txn_op::kind::remove:
@@ -144,9 +144,9 @@
     return result;
 }
 
-std::int64_t kv_store::grant(std::int64_t ttl_s, time_point now, std::int64_t wanted)
+std::int64_t kv_store::grant(std::int64_t ttl_s, time_point now, std::int64_t requested_id)
 {
-    std::int64_t const id = wanted != 0 ? wanted : m_next_lease++;
+    std::int64_t const id = requested_id != 0 ? requested_id : m_next_lease++;
     auto& lease = m_leases[id];
     lease.ttl_s = ttl_s;
     lease.expiry = now + std::chrono::seconds(ttl_s);
@@ -157,7 +157,7 @@
 {
     auto found = m_leases.find(id);
     if (found == m_leases.end()) {
-        throw error(error_kind::not_found, "lease " + std::to_string(id) + " has lapsed or never existed.",
+        throw error(error_kind::not_found, "lease " + std::to_string(id) + " has expired or never existed.",
                     "Grant a new lease and write the keys again.");
     }
     found->second.expiry = now + std::chrono::seconds(found->second.ttl_s);
@@ -175,7 +175,7 @@
     m_revision_open = false;
 }
 
-void kv_store::renew_all(time_point now)
+void kv_store::renew_all_leases(time_point now)
 {
     for (auto& [id, lease] : m_leases)
         lease.expiry = now + std::chrono::seconds(lease.ttl_s);
@@ -183,13 +183,13 @@
 
 std::vector<std::int64_t> kv_store::expire(time_point now)
 {
-    std::vector<std::int64_t> lapsed;
+    std::vector<std::int64_t> expired;
     for (auto const& [id, lease] : m_leases) {
-        if (lease.expiry <= now) lapsed.push_back(id);
+        if (lease.expiry <= now) expired.push_back(id);
     }
-    for (auto id : lapsed)
+    for (auto id : expired)
         revoke(id);
-    return lapsed;
+    return expired;
 }
 
 std::vector<watch_event> kv_store::events_after(std::int64_t after, std::string const& key,
@@ -197,9 +197,9 @@
 {
     if (after < m_compacted) {
         throw error(error_kind::conflict,
-                    "revision " + std::to_string(after) + " is compacted (oldest kept " + std::to_string(m_compacted) +
-                        ").",
-                    "Read the whole range again and watch from its revision.");
+                    "revision " + std::to_string(after) +
+                        " is compacted (oldest available: " + std::to_string(m_compacted) + ").",
+                    "Read the complete range again and watch from its revision.");
     }
     std::vector<watch_event> events;
     for (auto const& event : m_history) {
