--- a/tests/test_backend_entries.cpp
+++ b/tests/test_backend_entries.cpp
@@ -81,7 +81,7 @@
     CHECK(registry.find(backend_id("b")) != nullptr);
 }
 
-TEST_CASE("registrations: within one start a lower sequence is outdated; a new start begins a new sequence")
+TEST_CASE("registrations: within one start a lower sequence is outdated and a new start has a new sequence")
 {
     auto registry = registry_with(entry_of(1000, 50, true));
     CHECK_FALSE(registry.apply(entry_of(1000, 49), start));
--- a/tests/test_gateway_state.cpp
+++ b/tests/test_gateway_state.cpp
@@ -62,7 +62,7 @@
 }
 
 TEST_CASE(
-    "mirror: changes of a later era are applied whatever their revisions; followers in an earlier era read everything")
+    "mirror: changes of a later era are applied whatever their revisions and followers in an earlier era read all")
 {
     state_mirror mirror;
     mirror.replace({{"same", "1", at(5), false}, {"config", "3", at(60), false}, {"lost", "1", at(61), false}}, at(63));
