--- a/include/cornelspring/coordination.hpp
+++ b/include/cornelspring/coordination.hpp
@@ -193,7 +193,7 @@
     double latency_weight = 0.2;         ///< Weight of a new latency sample in the moving average.
     double outlier_factor = 4;           ///< A sample counts as at most this many times the average.
     milliseconds latency_half_life{500}; ///< Half-life of an average without new samples: a slow server is tried again.
-    std::chrono::microseconds initial_latency{100}; ///< Assumed for a server without samples: low, so that it is tried.
+    std::chrono::microseconds initial_latency{100}; ///< Assumed without samples; low, so that the server is tried.
 };
 
 /**
--- a/include/cornelspring/dispatch.hpp
+++ b/include/cornelspring/dispatch.hpp
@@ -22,7 +22,7 @@
 struct admission_request {
     milliseconds goal{1000};      ///< Latency goal of its route.
     time_point started_at;        ///< When it started.
-    bool highest_priority = true; ///< No other route over the same shards has a higher priority.
+    bool highest_priority = true; ///< No route over the same shards has a higher priority than its route.
     bool retried = false;         ///< Its caller has sent it before, judging by the time already spent.
     double max_share = 1;         ///< Upper bound on the admitted share, from coverable_share().
 };
@@ -99,8 +99,9 @@
  * Pre-connecting speeds up the first queries after a start, a reshard or an idle period, and hedges to servers that
  * rarely receive one. Opening a connection takes two round trips and the server's handshake, which is most of the time
  * that a caller of high priority waits.
- * @param config configuration. @param registry backend servers. @param places placement rules. @param connected returns
- * whether there is a connection to a server. @param random random source for the order. @param now current time.
+ * @param config configuration. @param registry backend servers. @param placement placement rules. @param connected
+ * returns whether there is a connection to a server. @param random random source for the order. @param now current
+ * time.
  */
 std::vector<std::shared_ptr<backend_server>>
 backends_to_preconnect(serving_config const& config, backend_registry& registry, placement_rules const& placement,
@@ -143,7 +144,7 @@
     std::string detail;                            ///< Cause of a failure, for logs.
 };
 
-/** Time that a request spends outside the dispatcher: before it is read and on the network. */
+/** Time that a request spends outside the dispatcher: waiting to be read, and on the network. */
 struct request_timing {
     clock::duration max_unread{0}; ///< Upper bound on the time that it was unread at this VM.
     clock::duration round_trip{0}; ///< Network time of request and response together; 0 if unknown.
@@ -162,7 +163,7 @@
     int hedges = 0;                        ///< Number of hedges among the attempts.
     int retries = 0;                       ///< Number of retries among the attempts.
     std::chrono::microseconds duration{0}; ///< Time from arrival to response.
-    milliseconds caller_time_spent{0};     ///< Caller's time spent before it was read, and network time.
+    milliseconds caller_time_spent{0};     ///< Time the caller waited before it was read, plus network time.
     int failed_attempts = 0;               ///< Number of failed attempts.
     int disconnects = 0;                   ///< Failed attempts for which the backend server closed the connection.
     request_digest digest;                 ///< Digest of the request, the same for its repetitions; empty until set.
@@ -195,7 +196,7 @@
     retry_budget::limits budget;  ///< Limits of the retry budget for extra attempts.
     selection_options selection;  ///< Replica choice.
     double hedge_quantile = 0.92; ///< Hedge a shard that is slower than this quantile of recent latencies.
-    /** Minimum hedge delay. With a shorter one most hedges would be in vain, as both attempts would respond. */
+    /** Minimum hedge delay. With a shorter one, most hedges would be wasted: the first attempt responds too. */
     milliseconds hedge_min{5};
     double hedge_goal_share = 0.4; ///< Maximum hedge delay, as a share of the route's latency goal.
     /** A response is sent this long before its latency goal, in addition to the caller's time already spent and the
@@ -222,7 +223,7 @@
     bool hedge_pause = true;  ///< Postpone a hedge that is due late until the responses received meanwhile are read.
     bool hedge_check = true;  ///< While congested, hedge only to backend servers that are expected to be faster.
     bool early_answer = true; ///< Send a response with the shards received so far in time for the goal.
-    bool by_coverage = true;  ///< Limit admission by coverable_share() too.
+    bool by_coverage = true;  ///< Limit the admitted share by coverable_share() too.
 };
 
 /** A mechanism that can be disabled to measure its effect. */
@@ -275,7 +276,7 @@
 class dispatcher {
 public:
     /** @param options settings. @param configs configuration in force. @param registry backend servers.
-     *  @param places placement rules. @param quarantine requests that crash backend servers. @param hooks callbacks.
+     *  @param placement placement rules. @param quarantine requests that crash backend servers. @param hooks callbacks.
      *  @param seed random seed. */
     dispatcher(dispatcher_options options, config_holder const& configs, backend_registry& registry,
                placement_rules const& placement, request_quarantine& quarantine, dispatcher_hooks hooks,
@@ -297,7 +298,7 @@
     std::size_t open_requests() const;
     /** Sets the number of VMs that share retry budgets and connections. @param vms at least 1. */
     void set_vm_count(std::size_t vms);
-    /** Finishes every open request now. Callers whose request certainly has not run are informed of that.
+    /** Finishes every open request now. The response says so if the request has certainly not run.
      *  @param now current time. */
     void finish_all(time_point now);
 
--- a/include/cornelspring/gateway.hpp
+++ b/include/cornelspring/gateway.hpp
@@ -62,7 +62,7 @@
     void send_request();
     /** Handles received bytes. */
     void on_bytes(std::string_view bytes);
-    /** Handles the end of the connection. */
+    /** Handles the closing or failure of the connection. */
     void on_end(stream_end how);
     /** Finishes the exchange with the response that was read. @param rest bytes received after it. */
     void handle_response(std::string_view rest);
@@ -103,7 +103,7 @@
 class backend_pool {
 public:
     /** @param loop event loop. @param options settings. @param on_result receives the outcome of each attempt that is
-     *  not cancelled. */
+     *  not canceled. */
     backend_pool(event_loop& loop, pool_options options, std::function<void(attempt_id, attempt_result)> on_result);
     ~backend_pool();
     /** Sends an attempt. @param order the attempt. */
--- a/include/cornelspring/places.hpp
+++ b/include/cornelspring/places.hpp
@@ -156,8 +156,9 @@
     /** Records a request sent to @p server. @param server backend server. @param requirements the request. @param now
      * current time. */
     void on_sent(server_placement& server, placement_requirements const& requirements, time_point now) const;
-    /** @return whether @p server counts as cold: it said so, or the evacuation of its failure domain stopped less than
-     * a warm-up ago. @param server backend server. @param warmup warm-up of its service. @param now current time. */
+    /** @return whether @p server counts as cold: it reported so, or the evacuation of its failure domain stopped less
+     * than a warm-up ago. @param server backend server. @param warmup warm-up of its service. @param now current time.
+     */
     bool is_cold(server_placement const& server, warmup_spec const& warmup, time_point now) const;
     /** @return the evacuations. */
     evacuations& evacuated() { return m_evacuations; }
--- a/include/cornelspring/quarantine.hpp
+++ b/include/cornelspring/quarantine.hpp
@@ -67,7 +67,8 @@
 
 /** Settings of the quarantine. */
 struct quarantine_options {
-    /** Crashes from which a request counts as their cause: fewer coincide by chance when backend servers fail. */
+    /** Number of crashes at which a request counts as their cause. Fewer can be chance: it may be in flight at backend
+     *  servers that fail for another reason. */
     int crash_threshold = 3;
     milliseconds first_duration{60000}; ///< Length of the first quarantine; each further one is twice as long.
     milliseconds max_duration{600000};  ///< Longest quarantine; also how long observations of a request are kept.
--- a/include/cornelspring/routing.hpp
+++ b/include/cornelspring/routing.hpp
@@ -42,8 +42,8 @@
     double after(clock::duration gap) const;
 };
 
-/** @return the exponential decay factor after @p age, from 1 down to 0. @param age elapsed time. @param half_life time
- * in which the factor halves. */
+/** @return the exponential decay factor after @p age: 1 at age 0, 0.5 after one half-life. @param age elapsed time.
+ *  @param half_life half-life. */
 double decay_factor(clock::duration age, milliseconds half_life);
 
 // ---- Configuration ----
@@ -113,8 +113,8 @@
     int max_connections(service_name const& service) const;
     /** @return the warm-up of the backend servers of @p service. @param service service. */
     warmup_spec const& warmup(service_name const& service) const;
-    /** @return the regions that may serve every route of @p host that has home regions; when there is none, those that
-     * may serve at least one; empty: all regions. @param host host. */
+    /** @return the regions that are home regions of every route of @p host with home regions. If there is no such
+     *  region, those that are a home region of at least one. Empty: all regions. @param host host. */
     region_set home_regions_of_host(std::string const& host) const;
     /** @return the lowest connection limit among the shards of all gathers; 0 when no route gathers. */
     int min_gather_connections() const { return m_min_gather_connections; }
@@ -133,7 +133,7 @@
     std::unordered_map<std::string, std::size_t> m_by_location; ///< Route index by host and prefix.
 };
 
-/** The configuration in force; an older version never replaces a newer one. */
+/** Holds the configuration in force; an older version never replaces a newer one. */
 class config_holder {
 public:
     /** Puts @p next into force when it is newer. @return whether it was. @param next candidate. */
@@ -219,7 +219,7 @@
     proximity distance = proximity::same_domain; ///< Its distance from this VM.
     server_placement placement;                  ///< Input of the placement rules.
     backend_load load;                           ///< Observed load, latency and failures.
-    std::optional<time_point> draining_since;    ///< When this VM received that it drains.
+    std::optional<time_point> draining_since;    ///< When this VM was notified that it is draining.
     bool removed = false;                        ///< Its registration was removed: no new attempts.
     std::optional<time_point> lapsed_until; ///< Its registration lapsed in a store outage; it is removed at that time.
 };
@@ -385,14 +385,15 @@
 /**
  * Chooses the backend server with the lowest expected wait among those that the request may be sent to.
  * @param group service. @param tried ids to exclude. @param room most attempts in flight at one backend server.
- * @param scope weights and placement rules. @param random tie breaks. @param now current time.
+ * @param scope weights, placement rules and what they need of the request. @param random breaks ties. @param now
+ * current time.
  * @return the choice.
  */
 selection choose_backend(service_group const& group, std::vector<backend_id> const& tried, int room,
                          selection_context const& scope, std::mt19937_64& random, time_point now);
 
 /** @return none when some backend server of @p group may get an attempt, else why not. @param group service.
- *  @param scope weights and placement rules. @param now current time. */
+ *  @param scope weights, placement rules and what they need of the request. @param now current time. */
 selection_failure unavailability_reason(service_group const& group, selection_context const& scope, time_point now);
 
 } // namespace cornelspring
