--- a/include/cornelspring/coordination.hpp
+++ b/include/cornelspring/coordination.hpp
@@ -162,7 +162,7 @@
         m_tokens = std::min(m_burst, m_tokens + m_ratio * static_cast<double>(requests));
     }
     /** Takes one token. @return true when there was one: the extra request may be sent. */
-    bool spend();
+    bool try_consume();
 
 private:
     double m_ratio;  ///< Tokens earned per ordinary request.
--- a/include/cornelspring/gateway.hpp
+++ b/include/cornelspring/gateway.hpp
@@ -143,10 +143,11 @@
     struct hooks {
         /** A complete request was received. The service calls respond() for it, during this callback or later. */
         std::function<void(caller_request)> on_request;
-        std::function<void(request_key)> on_disconnect; ///< The caller disconnected before the response was sent.
-        std::function<caller_limits()> limits;          ///< Limits in force.
+        /** The caller disconnected before the response was sent. */
+        std::function<void(request_key)> on_caller_disconnected;
+        std::function<caller_limits()> limits; ///< Limits in force.
         /** A request was rejected before routing. @param status status of the response, or 0. @param reason why. */
-        std::function<void(int status, char const* reason)> on_refused;
+        std::function<void(int status, char const* reason)> on_rejected;
     };
     /** @param loop event loop. @param hooks callbacks into the service. */
     caller_server(event_loop& loop, hooks hooks);
--- a/include/cornelspring/net.hpp
+++ b/include/cornelspring/net.hpp
@@ -26,11 +26,11 @@
     std::vector<http_header> headers; ///< Headers other than pseudo-headers.
     std::string body;                 ///< Body.
     /** Set when the peer cancels the request (stream reset or connection lost); null on the sending side. */
-    std::shared_ptr<std::atomic<bool>> cancelled;
+    std::shared_ptr<std::atomic<bool>> canceled;
     /** @return the value of header @p name, or "" when absent. @param name lower-case name. */
     std::string header(std::string const& name) const;
-    /** @return whether the peer has cancelled the request. */
-    bool is_cancelled() const { return cancelled != nullptr && cancelled->load(); }
+    /** @return whether the peer has canceled the request. */
+    bool is_canceled() const { return canceled != nullptr && canceled->load(); }
 };
 
 /** @return a POST of @p json_text as application/json. @param path path. @param json_text body. */
--- a/include/cornelspring/routing.hpp
+++ b/include/cornelspring/routing.hpp
@@ -185,9 +185,9 @@
 public:
     /** Records a started attempt. */
     void on_sent() { ++m_in_flight; }
-    /** Records an attempt that was cancelled in flight: its latency is at least the time it ran.
+    /** Records an attempt that was canceled in flight: its latency is at least the time it ran.
      *  @param ran time it ran. @param now current time. */
-    void on_cancelled(std::chrono::microseconds ran, time_point now);
+    void on_canceled(std::chrono::microseconds ran, time_point now);
     /** Records a finished attempt. @param end outcome. @param took time it ran. @param now current time. */
     void on_finished(attempt_status end, std::chrono::microseconds took, time_point now);
     /** Records that an attempt takes longer than usual. @param now current time. */
@@ -385,15 +385,15 @@
 /**
  * Chooses the backend server with the lowest expected wait among those that the request may be sent to.
  * @param group service. @param tried ids to exclude. @param room most attempts in flight at one backend server.
- * @param scope weights, placement rules and what they need of the request. @param random breaks ties. @param now
+ * @param context weights, placement rules and what they need of the request. @param random breaks ties. @param now
  * current time.
  * @return the choice.
  */
 selection choose_backend(service_group const& group, std::vector<backend_id> const& tried, int room,
-                         selection_context const& scope, std::mt19937_64& random, time_point now);
+                         selection_context const& context, std::mt19937_64& random, time_point now);
 
 /** @return none when some backend server of @p group may get an attempt, else why not. @param group service.
- *  @param scope weights, placement rules and what they need of the request. @param now current time. */
-selection_failure unavailability_reason(service_group const& group, selection_context const& scope, time_point now);
+ *  @param context weights, placement rules and what they need of the request. @param now current time. */
+selection_failure unavailability_reason(service_group const& group, selection_context const& context, time_point now);
 
 } // namespace cornelspring
--- a/src/backend/backend_service.cpp
+++ b/src/backend/backend_service.cpp
@@ -8,7 +8,7 @@
 constexpr int shed_retry_after_s = 1;
 /** Largest number of journal entries held; the oldest are removed first. */
 constexpr std::size_t journal_limit = 500000;
-/** Interval at which a running job checks whether its caller has cancelled the request. */
+/** Interval at which a running job checks whether its caller has canceled the request. */
 constexpr milliseconds cancel_poll_interval{2};
 /** Body of a malformed response. */
 constexpr char const* malformed_body = "\x01\x02 not what was asked for";
@@ -262,10 +262,10 @@
 {
     auto const until = std::min(task.deadline, started + milliseconds(task.work_duration_ms));
     while (clock::now() < until) {
-        if (task.request.is_cancelled()) return false;
+        if (task.request.is_canceled()) return false;
         std::this_thread::sleep_until(std::min(until, clock::now() + cancel_poll_interval));
     }
-    return !task.request.is_cancelled();
+    return !task.request.is_canceled();
 }
 
 void backend_service::run_worker()
--- a/src/backend/backend_service.hpp
+++ b/src/backend/backend_service.hpp
@@ -108,7 +108,7 @@
     void run(job& task);
     /** @return the response to a search. */
     http_response search_response(job const& task) const;
-    /** Sleeps for the job's simulated run time. @return false when the caller cancelled the request meanwhile. */
+    /** Sleeps for the job's simulated run time. @return false when the caller canceled the request meanwhile. */
     static bool simulate_work(job const& task, time_point started);
     /** Parses a search request and admits it. */
     void search(http_request const& request, respond_fn reply);
--- a/src/coordination/backend_tracker.cpp
+++ b/src/coordination/backend_tracker.cpp
@@ -26,7 +26,7 @@
     return result.response.header(draining_header).empty() ? attempt_outcome::shed : attempt_outcome::draining;
 }
 
-bool token_budget::spend()
+bool token_budget::try_consume()
 {
     if (m_tokens < 1.0) return false;
     m_tokens -= 1.0;
--- a/src/coordination/scatter_gather.cpp
+++ b/src/coordination/scatter_gather.cpp
@@ -206,7 +206,7 @@
     auto& slot = state->shards[shard];
     auto const now = clock::now();
     bool const allowed = slot.tries < m_options.max_tries_per_shard && now < state->deadline;
-    if (!allowed || !m_retry_budget.spend()) {
+    if (!allowed || !m_retry_budget.try_consume()) {
         finish_shard(state, shard);
         finish_if_complete(state);
         return;
@@ -266,7 +266,7 @@
         if (slot.open_attempts.size() >= in_flight.size()) in_flight.assign(in_flight.size(), false);
         auto const candidate = m_chooser(*slot.candidates, in_flight, now);
         if (!candidate) continue;
-        if (!m_hedge_budget.spend()) break;
+        if (!m_hedge_budget.try_consume()) break;
         ++slot.hedges;
         send_attempt(state, shard, *candidate, now);
         ++state->counts.hedges;
--- a/src/dispatch/dispatcher_arrival.cpp
+++ b/src/dispatch/dispatcher_arrival.cpp
@@ -224,7 +224,7 @@
     return out;
 }
 
-selection_context dispatcher::impl::scope(request_state const& request, shard_state const& shard) const
+selection_context dispatcher::impl::context(request_state const& request, shard_state const& shard) const
 {
     return {options.selection, placement, {request.matched_route->home_regions, *shard.warmup}};
 }
@@ -247,7 +247,7 @@
     std::size_t blocked = 0;
     double longest = options.retry_after_s;
     for (auto const& shard : request.shards) {
-        auto const miss = unavailability_reason(*shard.group, scope(request, shard), now);
+        auto const miss = unavailability_reason(*shard.group, context(request, shard), now);
         if (miss != selection_failure::none) {
             count_miss(request.summary, miss);
             ++blocked;
--- a/src/dispatch/dispatcher_attempts.cpp
+++ b/src/dispatch/dispatcher_attempts.cpp
@@ -48,7 +48,7 @@
                                          time_point now)
 {
     auto& shard = request.shards[index];
-    auto const inputs = scope(request, shard);
+    auto const inputs = context(request, shard);
     auto const chosen =
         choose_backend(*shard.group, shard.tried, connection_limit(request, shard), inputs, random, now);
     if (!chosen.target) {
@@ -84,7 +84,7 @@
                      open_attempt{request.key, index, shard.group, chosen.target,
                                   &request.latencies->of(chosen.target->distance), now, request.sequential, false});
     chosen.target->load.on_sent();
-    placement.on_sent(chosen.target->placement, scope(request, shard).requirements, now);
+    placement.on_sent(chosen.target->placement, context(request, shard).requirements, now);
     shard.tried.push_back(chosen.target->registration.id);
     shard.in_flight.push_back(id);
     ++shard.sends;
@@ -270,7 +270,7 @@
             bool const held = is_usable(request, result.response) && on_usable_response(request, now);
             on_response(request, attempt.shard, std::move(result.response), now);
             if (held) send_held_shards(request, now);
-        } else if (result.outcome != attempt_status::disconnected || on_disconnect(request, now)) {
+        } else if (result.outcome != attempt_status::disconnected || on_backend_disconnected(request, now)) {
             on_failure(request, attempt.shard, result, now);
         }
         if (request.sequential) send_next_sequential(request, now);
@@ -352,7 +352,7 @@
 
 /**
  * If the attempt is the only one in flight at its backend server, it may run on for a while, because its response shows
- * that a pause of the server is over. Otherwise it is cancelled, which frees its slot.
+ * that a pause of the server is over. Otherwise it is canceled, which frees its slot.
  */
 void dispatcher::impl::release_attempt(attempt_id id, bool may_observe, time_point now)
 {
@@ -365,7 +365,7 @@
         return;
     }
     auto const ran = std::chrono::duration_cast<std::chrono::microseconds>(now - attempt.sent_at);
-    attempt.target->load.on_cancelled(ran, now);
+    attempt.target->load.on_canceled(ran, now);
     attempt.latencies->add(ran);
     auto* group = attempt.group;
     attempts.erase(found);
--- a/src/dispatch/dispatcher_crash_suspects.cpp
+++ b/src/dispatch/dispatcher_crash_suspects.cpp
@@ -6,7 +6,7 @@
 namespace cornelspring {
 namespace {
 
-/** Number of closed connections, without any usable response, at which the attempts in flight are cancelled. */
+/** Number of closed connections, without any usable response, at which the attempts in flight are canceled. */
 constexpr int disconnects_before_cancel = 2;
 /** Maximum length of a request's method, host and path in the log. */
 constexpr std::size_t max_logged_line_length = 120;
@@ -76,9 +76,9 @@
 /**
  * If no backend server has sent a usable response yet, the first closed connection does not lead to a retry at another
  * replica of the shard: the other shards in flight show within milliseconds whether the request or the server caused
- * it. From the second closed connection on, the attempts in flight are cancelled and attempts are sent one at a time.
+ * it. From the second closed connection on, the attempts in flight are canceled and attempts are sent one at a time.
  */
-bool dispatcher::impl::on_disconnect(request_state& request, time_point now)
+bool dispatcher::impl::on_backend_disconnected(request_state& request, time_point now)
 {
     ++request.summary.disconnects;
     if (request.usable_received) return true;
@@ -106,20 +106,20 @@
         shard.hedge_at = time_point::max();
 }
 
-/** Most backend servers drop cancelled requests, so that they survive a request that would crash them. */
+/** Most backend servers drop canceled requests, so that they survive a request that would crash them. */
 void dispatcher::impl::cancel_and_hold(request_state& request, time_point now)
 {
-    std::vector<attempt_id> cancelled;
+    std::vector<attempt_id> canceled;
     for (auto& shard : request.shards) {
         bool const may_be_sent_again = shard.in_flight.empty() || shard.maybe_run < request.matched_route->attempts;
         if (!needs_response(shard) || !may_be_sent_again) continue;
         shard.held = true;
         shard.queued = false;
         shard.retry_at = time_point::max();
-        cancelled.insert(cancelled.end(), shard.in_flight.begin(), shard.in_flight.end());
+        canceled.insert(canceled.end(), shard.in_flight.begin(), shard.in_flight.end());
         shard.in_flight.clear();
     }
-    for (auto const id : cancelled)
+    for (auto const id : canceled)
         release_attempt(id, false, now);
 }
 
--- a/src/dispatch/dispatcher_impl.hpp
+++ b/src/dispatch/dispatcher_impl.hpp
@@ -82,7 +82,7 @@
     /** @return the expected wait in seconds if too few shards have a free connection, else 0. */
     double blocked_wait_s(request_state& request, time_point now) const;
     /** @return the inputs for the choice of a backend server. */
-    selection_context scope(request_state const& request, shard_state const& shard) const;
+    selection_context context(request_state const& request, shard_state const& shard) const;
     /** Counts a failed choice of a backend server in the summary, by cause. */
     static void count_miss(request_summary& summary, selection_failure miss);
     /** @return coverable_share() for the shards of the request. */
@@ -108,7 +108,7 @@
     /** Sends the first attempt of every shard, or of only one shard if attempts are sent one at a time. */
     void send_first_attempts(request_state& request, time_point now);
     /** A backend server closed the connection of an attempt. @return false if that finished the request. */
-    bool on_disconnect(request_state& request, time_point now);
+    bool on_backend_disconnected(request_state& request, time_point now);
     /** @return whether attempts are sent one at a time and one is in flight or about to be sent. */
     static bool waits_for_other_attempts(request_state const& request);
     /** Stops sending until a backend server sends a usable response or all attempts have finished. In the second case
--- a/src/emulator/emulator.cpp
+++ b/src/emulator/emulator.cpp
@@ -180,7 +180,7 @@
     hooks.send = [this, &vm](outgoing_attempt order) { send(vm, std::move(order)); };
     hooks.cancel = [&vm](attempt_id id) {
         if (auto const found = vm.jobs.find(id.value()); found != vm.jobs.end()) {
-            found->second->cancelled = true;
+            found->second->canceled = true;
             vm.jobs.erase(found);
         }
     };
@@ -242,7 +242,7 @@
     };
     vm.jobs[order.id.value()] = work;
     m_todo.at(m_todo.now() + way, [this, index, work] {
-        if (!work->cancelled) m_servers[index]->arrive(work);
+        if (!work->canceled) m_servers[index]->arrive(work);
     });
 }
 
--- a/src/emulator/modelled_server.hpp
+++ b/src/emulator/modelled_server.hpp
@@ -17,7 +17,7 @@
 struct job {
     double work_ms = 0;                       ///< Work.
     std::function<void(attempt_status)> done; ///< Receives the end.
-    bool cancelled = false;                   ///< Given up by the gateway.
+    bool canceled = false;                    ///< Given up by the gateway.
     std::function<void()> crashes;            ///< Set for work that crashes its server: told when it does.
 };
 
@@ -53,7 +53,7 @@
         lost.insert(lost.end(), m_at_work.begin(), m_at_work.end());
         m_at_work.clear();
         for (auto const& work : lost) {
-            if (!work->cancelled) work->done(attempt_status::disconnected);
+            if (!work->canceled) work->done(attempt_status::disconnected);
         }
     }
     double slowdown = 1;  ///< Factor on the work.
@@ -78,7 +78,7 @@
         while (m_at_work.size() < slots() && !m_queue.empty() && m_todo.now() >= m_paused_until) {
             auto work = std::move(m_queue.front());
             m_queue.pop_front();
-            if (work->cancelled) continue;
+            if (work->canceled) continue;
             m_at_work.push_back(work);
             m_todo.at(m_todo.now() + from_ms(work->work_ms * slowdown), [this, work] { finish(work); });
         }
@@ -98,7 +98,7 @@
             return;
         }
         m_at_work.erase(found);
-        if (!work->cancelled && !dark) work->done(attempt_status::answered);
+        if (!work->canceled && !dark) work->done(attempt_status::answered);
         start_some();
     }
 
--- a/src/feed/state_feed.cpp
+++ b/src/feed/state_feed.cpp
@@ -23,7 +23,7 @@
 constexpr milliseconds watch_margin{900};
 /** Time a call may be late before a search starts alongside it: two round trips between regions, and the scheduling
  * delay of a process on a tenth of a core. It doubles with each source that was found and then did not respond: the
- * response may just be large (a configuration with hundreds of additional routes), and if the call were cancelled and
+ * response may just be large (a configuration with hundreds of additional routes), and if the call were canceled and
  * repeated each time, the response would never arrive. */
 constexpr milliseconds late_call_delay{250};
 /** Most doublings of that time. */
@@ -69,7 +69,7 @@
     time_point source_confirmed_at;         ///< The same for the current source's copy, as the source stated.
     bool call_in_flight = false;            ///< A read or a watch is in flight.
     std::optional<feed_source> last_source; ///< Source of the last read or watch.
-    std::uint64_t call_number = 0;          ///< Identifies responses to cancelled calls.
+    std::uint64_t call_number = 0;          ///< Identifies responses to canceled calls.
     std::vector<store_item> pages;          ///< Items of the full read in progress.
     std::string next_page;                  ///< Token of its next page; empty: the first.
     store_position first_position;          ///< Position of its first page.
--- a/src/gateway/caller_server.cpp
+++ b/src/gateway/caller_server.cpp
@@ -133,7 +133,7 @@
     }
     from.pipelined.append(bytes);
     if (from.pipelined.size() > max_pipelined_bytes) {
-        service.on_refused(0, "too much was sent ahead");
+        service.on_rejected(0, "too much was sent ahead");
         on_end(number);
     }
 }
@@ -184,7 +184,7 @@
 void caller_server::impl::refuse(std::uint64_t number, int status, char const* reason)
 {
     auto& from = *connections.at(number);
-    service.on_refused(status, reason);
+    service.on_rejected(status, reason);
     http_response response;
     response.status = status;
     response.headers.push_back({"content-type", "text/plain"});
@@ -200,7 +200,7 @@
     if (found == connections.end()) return;
     auto const serving_key = found->second->serving;
     remove(number);
-    if (serving_key) service.on_disconnect(*serving_key);
+    if (serving_key) service.on_caller_disconnected(*serving_key);
 }
 
 void caller_server::impl::remove(std::uint64_t number)
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -42,13 +42,13 @@
 {
     caller_server::hooks hooks;
     hooks.on_request = [this](caller_request request) { on_request(std::move(request)); };
-    hooks.on_disconnect = [this](request_key key) {
+    hooks.on_caller_disconnected = [this](request_key key) {
         followers.cancel(key);
         requests->on_caller_disconnected(key, loop.now());
         wake_dispatcher();
     };
     hooks.limits = [this] { return configs.current() ? configs.current()->limits() : caller_limits{}; };
-    hooks.on_refused = [this](int status, char const* reason) { log.on_refused(status, reason); };
+    hooks.on_rejected = [this](int status, char const* reason) { log.on_rejected(status, reason); };
     callers = std::make_unique<caller_server>(loop, std::move(hooks));
     if (settings.caller_address) callers->listen(*settings.caller_address, false);
     for (auto const& address : settings.internal_addresses)
--- a/src/gateway/gateway_log.cpp
+++ b/src/gateway/gateway_log.cpp
@@ -151,7 +151,7 @@
     LOG4CPLUS_INFO(m_logger, line);
 }
 
-void gateway_log::on_refused(int status, char const* reason)
+void gateway_log::on_rejected(int status, char const* reason)
 {
     if (allowed(m_requests, request_lines_per_s)) write({{"event", "refused"}, {"status", status}, {"reason", reason}});
 }
--- a/src/gateway/gateway_log.hpp
+++ b/src/gateway/gateway_log.hpp
@@ -32,7 +32,7 @@
      *  was last confirmed. */
     void on_request(request_summary const& summary, milliseconds state_age);
     /** Logs a request that was rejected while it was read. @param status status of the response. @param reason why. */
-    void on_refused(int status, char const* reason);
+    void on_rejected(int status, char const* reason);
     /** Logs that a dependency was lost or regained. @param name name of the dependency. @param change "lost" or
      *  "regained". @param outage length of the outage. */
     void dependency(char const* name, char const* change, milliseconds outage);
--- a/src/gateway/store_channel.cpp
+++ b/src/gateway/store_channel.cpp
@@ -4,8 +4,8 @@
 namespace cornelspring {
 namespace {
 
-/** A call is cancelled if no bytes arrive for this time after its response has started. There is no limit on the
- * complete response: large ones take long on a slow link, and would never arrive if they were cancelled and requested
+/** A call is canceled if no bytes arrive for this time after its response has started. There is no limit on the
+ * complete response: large ones take long on a slow link, and would never arrive if they were canceled and requested
  * again. */
 constexpr milliseconds progress_timeout{500};
 
--- a/src/routing/backend_registry.cpp
+++ b/src/routing/backend_registry.cpp
@@ -69,7 +69,7 @@
     m_suspect_until = std::max(m_suspect_until, now + suspicion(m_consecutive_failures));
 }
 
-void backend_load::on_cancelled(std::chrono::microseconds ran, time_point now)
+void backend_load::on_canceled(std::chrono::microseconds ran, time_point now)
 {
     --m_in_flight;
     double const sample = static_cast<double>(ran.count()) / 1000.0;
--- a/src/routing/replica_choice.cpp
+++ b/src/routing/replica_choice.cpp
@@ -93,12 +93,12 @@
 
 } // namespace
 
-selection_failure unavailability_reason(service_group const& group, selection_context const& scope, time_point now)
+selection_failure unavailability_reason(service_group const& group, selection_context const& context, time_point now)
 {
     miss_reason reason;
     for (auto const& server : group.backends) {
-        if (usable(*server, scope.options, now) == usability::none) continue;
-        auto const refused = scope.placement.refusal(server->placement, scope.requirements, now);
+        if (usable(*server, context.options, now) == usability::none) continue;
+        auto const refused = context.placement.refusal(server->placement, context.requirements, now);
         if (refused == placement_refusal::none) return selection_failure::none;
         reason.add(refused);
     }
@@ -106,7 +106,7 @@
 }
 
 selection choose_backend(service_group const& group, std::vector<backend_id> const& tried, int room,
-                         selection_context const& scope, std::mt19937_64& random, time_point now)
+                         selection_context const& context, std::mt19937_64& random, time_point now)
 {
     std::vector<candidate> good;
     std::vector<candidate> suspect;
@@ -115,17 +115,17 @@
     miss_reason reason;
     for (auto const& server : group.backends) {
         if (std::find(tried.begin(), tried.end(), server->registration.id) != tried.end()) continue;
-        auto const use = usable(*server, scope.options, now);
+        auto const use = usable(*server, context.options, now);
         if (use == usability::none) continue;
-        if (auto const refused = scope.placement.refusal(server->placement, scope.requirements, now);
+        if (auto const refused = context.placement.refusal(server->placement, context.requirements, now);
             refused != placement_refusal::none) {
             reason.add(refused);
             continue;
         }
         any = true;
         if (server->load.in_flight() >= room) continue;
-        candidate const made{server, expected_wait_ms(*server, group.average_latency_ms, scope.options, now)};
-        bool const avoided = scope.options.avoid_suspect && server->load.suspect(now);
+        candidate const made{server, expected_wait_ms(*server, group.average_latency_ms, context.options, now)};
+        bool const avoided = context.options.avoid_suspect && server->load.suspect(now);
         (use == usability::last_resort ? leaving : avoided ? suspect : good).push_back(made);
     }
     for (auto const* group_of : {&good, &suspect, &leaving}) {
--- a/src/transport/h2_server.cpp
+++ b/src/transport/h2_server.cpp
@@ -73,16 +73,16 @@
 server_connection& connection_of(void* user_data) { return *static_cast<server_connection*>(user_data); }
 
 /** Signals to the handler of @p stream that its response is no longer needed. */
-void mark_cancelled(server_stream& stream)
+void mark_canceled(server_stream& stream)
 {
-    if (stream.request.cancelled != nullptr) stream.request.cancelled->store(true);
+    if (stream.request.canceled != nullptr) stream.request.canceled->store(true);
 }
 
 int on_begin_headers(nghttp2_session*, nghttp2_frame const* frame, void* user_data)
 {
     if (frame->hd.type == NGHTTP2_HEADERS && frame->headers.cat == NGHTTP2_HCAT_REQUEST) {
         auto& stream = connection_of(user_data).streams[frame->hd.stream_id];
-        stream.request.cancelled = std::make_shared<std::atomic<bool>>(false);
+        stream.request.canceled = std::make_shared<std::atomic<bool>>(false);
     }
     return 0;
 }
@@ -127,7 +127,7 @@
     auto& streams = connection_of(user_data).streams;
     auto found = streams.find(stream_id);
     if (found == streams.end()) return 0;
-    mark_cancelled(found->second);
+    mark_canceled(found->second);
     streams.erase(found);
     return 0;
 }
@@ -280,7 +280,7 @@
     for (auto it = connections.begin(); it != connections.end();) {
         if (it->second->broken) {
             for (auto& [stream_id, stream] : it->second->streams)
-                mark_cancelled(stream);
+                mark_canceled(stream);
             nghttp2_session_del(it->second->session);
             close(it->second->fd);
             it = connections.erase(it);
--- a/tests/dispatcher_fixture.hpp
+++ b/tests/dispatcher_fixture.hpp
@@ -24,7 +24,7 @@
         options.names = {"request-id", "deadline", "target", "signature", "not-run", "warmup", "parts", "missing"};
         dispatcher_hooks hooks;
         hooks.send = [this](outgoing_attempt attempt) { sent.push_back(std::move(attempt)); };
-        hooks.cancel = [this](attempt_id id) { cancelled.insert(id.value()); };
+        hooks.cancel = [this](attempt_id id) { canceled.insert(id.value()); };
         hooks.respond = [this](request_key key, http_response response) {
             responses[key.value()] = std::move(response);
         };
@@ -140,7 +140,7 @@
     clock::duration round_trip{0};                     ///< Network time of the requests.
     caller_address caller{"192.0.2.1"};                ///< Address of their caller.
     std::vector<outgoing_attempt> sent;                ///< Attempts in the attempt of sending.
-    std::set<std::uint64_t> cancelled;                 ///< Ids of cancelled attempts.
+    std::set<std::uint64_t> canceled;                  ///< Ids of canceled attempts.
     std::map<std::uint64_t, http_response> responses;  ///< Responses to callers by request key.
     std::vector<request_summary> finished;             ///< Summaries of finished requests.
     std::uint64_t last_key = 0;                        ///< Last request key used.
--- a/tests/test_busy_process.cpp
+++ b/tests/test_busy_process.cpp
@@ -25,9 +25,9 @@
             response.headers = {{"signature", "s"}};
             server->respond(request.key, std::move(response));
         };
-        hooks.on_disconnect = [](request_key) {};
+        hooks.on_caller_disconnected = [](request_key) {};
         hooks.limits = [] { return caller_limits{}; };
-        hooks.on_refused = [](int, char const*) {};
+        hooks.on_rejected = [](int, char const*) {};
         server = std::make_unique<caller_server>(loop, std::move(hooks));
         address = {"127.0.0.1", server->listen({"127.0.0.1", 0}, false)};
         pool_options options;
--- a/tests/test_crash_suspects.cpp
+++ b/tests/test_crash_suspects.cpp
@@ -9,19 +9,19 @@
 
 namespace {
 
-/** @return the number of attempts from index @p from on that were not cancelled. */
-std::size_t not_cancelled(dispatcher_fixture const& fleet, std::size_t from)
+/** @return the number of attempts from index @p from on that were not canceled. */
+std::size_t not_canceled(dispatcher_fixture const& fleet, std::size_t from)
 {
     return static_cast<std::size_t>(
         std::count_if(fleet.sent.begin() + static_cast<std::ptrdiff_t>(from), fleet.sent.end(),
-                      [&](outgoing_attempt const& attempt) { return !fleet.cancelled.contains(attempt.id.value()); }));
+                      [&](outgoing_attempt const& attempt) { return !fleet.canceled.contains(attempt.id.value()); }));
 }
 
 /** Crashes every backend server that runs the request, until a response is sent. */
 void crash_all(dispatcher_fixture& fleet, request_key key, std::size_t from)
 {
     for (auto i = from; i < fleet.sent.size() && !fleet.has_response(key); ++i) {
-        if (!fleet.cancelled.contains(fleet.sent[i].id.value())) fleet.finish_attempt(i, attempt_status::disconnected);
+        if (!fleet.canceled.contains(fleet.sent[i].id.value())) fleet.finish_attempt(i, attempt_status::disconnected);
         fleet.advance(20ms);
     }
 }
@@ -37,7 +37,7 @@
     fleet.finish_attempt(0, attempt_status::disconnected);
     CHECK(fleet.sent.size() == 4); // The three other attempts show soon whether the query is the cause.
     fleet.finish_attempt(1, attempt_status::disconnected);
-    CHECK(fleet.cancelled.size() == 2);
+    CHECK(fleet.canceled.size() == 2);
     REQUIRE(fleet.sent.size() == 5);
     fleet.finish_attempt(4, attempt_status::disconnected);
     CHECK(fleet.response_to(key).status == 502);
@@ -68,7 +68,7 @@
         fleet.respond(4, 200, std::string(16, 'a'));
     }
     for (std::size_t i = 2; i < fleet.sent.size(); ++i) {
-        if (!fleet.cancelled.contains(fleet.sent[i].id.value())) fleet.respond(i, 200, std::string(16, 'a'));
+        if (!fleet.canceled.contains(fleet.sent[i].id.value())) fleet.respond(i, 200, std::string(16, 'a'));
     }
     CHECK(fleet.response_to(key).status == 200);
     CHECK(fleet.response_to(key).header("missing") == "0");
@@ -152,7 +152,7 @@
     {
         fleet.finish_attempt(before, attempt_status::not_executed);
         fleet.advance(20ms);
-        CHECK(not_cancelled(fleet, before + 1) == 1);
+        CHECK(not_canceled(fleet, before + 1) == 1);
     }
     SUBCASE("a caller that disconnects during the trial cannot cause repeated trials")
     {
--- a/tests/test_dispatcher.cpp
+++ b/tests/test_dispatcher.cpp
@@ -167,7 +167,7 @@
     CHECK(fleet.sent.empty());
 }
 
-TEST_CASE("dispatcher: a slow shard is hedged once, to the other replica, and the slower attempt is cancelled")
+TEST_CASE("dispatcher: a slow shard is hedged once, to the other replica, and the slower attempt is canceled")
 {
     dispatcher_fixture fleet;
     auto const key = fleet.start("/gather/", "id1");
@@ -181,7 +181,7 @@
     fleet.respond(4, 200, std::string(16, 'b'));
     CHECK(fleet.response_to(key).header("missing") == "0");
     fleet.advance(400ms);
-    CHECK(fleet.cancelled == std::set<std::uint64_t>{fleet.sent[3].id.value()});
+    CHECK(fleet.canceled == std::set<std::uint64_t>{fleet.sent[3].id.value()});
     CHECK(fleet.sent[3].target->load.in_flight() == 0);
 }
 
@@ -216,12 +216,12 @@
     CHECK(fleet.response_to(key).status == 504);
 }
 
-TEST_CASE("dispatcher: all attempts are cancelled when the caller disconnects")
+TEST_CASE("dispatcher: all attempts are canceled when the caller disconnects")
 {
     dispatcher_fixture fleet;
     auto const key = fleet.start("/gather/", "id1");
     fleet.requests->on_caller_disconnected(key, fleet.now);
-    CHECK(fleet.cancelled.size() == 4);
+    CHECK(fleet.canceled.size() == 4);
     CHECK_FALSE(fleet.has_response(key));
     CHECK(fleet.requests->open_requests() == 0);
 }
--- a/tests/test_policy.cpp
+++ b/tests/test_policy.cpp
@@ -140,17 +140,17 @@
 TEST_CASE("a budget allows its burst, then only its ratio")
 {
     token_budget budget(0.05, 2);
-    CHECK(budget.spend());
-    CHECK(budget.spend());
-    CHECK_FALSE(budget.spend());
+    CHECK(budget.try_consume());
+    CHECK(budget.try_consume());
+    CHECK_FALSE(budget.try_consume());
     budget.earn(19);
-    CHECK_FALSE(budget.spend());
+    CHECK_FALSE(budget.try_consume());
     budget.earn(2);
-    CHECK(budget.spend());
+    CHECK(budget.try_consume());
     budget.earn(1000000);
-    CHECK(budget.spend());
-    CHECK(budget.spend());
-    CHECK_FALSE(budget.spend());
+    CHECK(budget.try_consume());
+    CHECK(budget.try_consume());
+    CHECK_FALSE(budget.try_consume());
 }
 
 TEST_CASE("the latency window gives a quantile of the recent samples only")
--- a/tests/test_state_feed.cpp
+++ b/tests/test_state_feed.cpp
@@ -174,7 +174,7 @@
 TEST_CASE("feed: a change that takes longer to transfer than the allowed delay of a call still arrives")
 {
     // A configuration of 600 KB takes 0.34 s on 14 Mbit/s, and a leader sends it to twelve followers over one link: 4 s
-    // if it were not deflated. Its routes differ in names and figures only. If a gateway cancelled and repeated a call
+    // if it were not deflated. Its routes differ in names and figures only. If a gateway canceled and repeated a call
     // whose response is merely large, the response would never arrive.
     auto const fleet = synced_fleet(78, 6, 1);
     fleet->limit_resources(1750, 500us);
--- a/tests/test_transport_contract.cpp
+++ b/tests/test_transport_contract.cpp
@@ -151,13 +151,13 @@
     }
 }
 
-TEST_CASE("a cancelled call resets its stream, and the server's handler can see it")
+TEST_CASE("a canceled call resets its stream, and the server's handler can see it")
 {
     std::atomic<bool> seen{false};
     std::shared_ptr<std::atomic<bool>> flag;
     std::atomic<bool> arrived{false};
     h2_server server(server_options{}, [&](http_request const& request, respond_fn) {
-        flag = request.cancelled;
+        flag = request.canceled;
         arrived = true;
     });
     server.start();
