--- a/include/cornelspring/dispatch.hpp
+++ b/include/cornelspring/dispatch.hpp
@@ -163,7 +163,7 @@
     int hedges = 0;                        ///< Number of hedges among the attempts.
     int retries = 0;                       ///< Number of retries among the attempts.
     std::chrono::microseconds duration{0}; ///< Time from arrival to response.
-    milliseconds caller_time_spent{0};     ///< Time the caller waited before it was read, plus network time.
+    milliseconds caller_time_spent{0};     ///< Caller's time until its request was read, plus network time.
     int failed_attempts = 0;               ///< Number of failed attempts.
     int disconnects = 0;                   ///< Failed attempts for which the backend server closed the connection.
     request_digest digest;                 ///< Digest of the request, the same for its repetitions; empty until set.
--- a/include/cornelspring/feed.hpp
+++ b/include/cornelspring/feed.hpp
@@ -212,12 +212,12 @@
  * used again until a freshness check or a current response shows that it is current.
  *
  * How long a search takes: let d be the share of the VMs that are unreachable. A share d of the remaining VMs followed
- * an unreachable one and is searching too, so that a share e = 1 - (1 - d)^2 of all VMs cannot help, and a round that
- * asks n sources finds none with probability e^n. The rounds ask 4, 8 and 16 sources and, after a pause of 0.1 s, 8. At
- * d = 0.35, three rounds find none with probability e^28 = 4e-7; at d = 0.6 (e = 0.84), four rounds find none with
- * probability e^36 = 2e-3. A source that does not respond is detected after 0.8 s + 0.25 s, and one that responds from
- * an old copy after 2 s. A round takes 0.3 s. Another source is thus found within 2.35 s, or 3.3 s if the old one
- * responded from an old copy.
+ * an unreachable one and is searching too, so that a share e = 1 - (1 - d)^2 of all VMs cannot serve as a source. A
+ * round that asks n random sources finds none with probability e^n. The rounds ask 4, 8 and 16 sources and, after a
+ * pause of 0.1 s, 8. At d = 0.35, three rounds find none with probability e^28 = 4e-7; at d = 0.6 (e = 0.84), four
+ * rounds find none with probability e^36 = 2e-3. A source that does not respond is detected after 0.8 s + 0.25 s, and
+ * one that responds from an old copy after 2 s. A round takes 0.3 s. Another source is thus found within 2.35 s, or 3.3
+ * s if the old one responded from an old copy.
  */
 class feed_selector {
 public:
--- a/include/cornelspring/gateway.hpp
+++ b/include/cornelspring/gateway.hpp
@@ -180,11 +180,11 @@
 gateway_member decode_member(std::string const& value);
 
 /**
- * Chooses the active gateways: those whose addresses callers receive. Their number is limited, because more gateways
- * than backend servers have connections for would keep opening and closing connections, and because a gateway with more
- * requests detects slow backend servers sooner. Each failure domain gets the same number, its largest VMs first.
- * Stopping gateways are chosen only if all are stopping. VMs that are much smaller than the others are left out if the
- * others have enough capacity.
+ * Chooses the active gateways: those whose addresses callers receive. Their number is limited for two reasons: if
+ * there were more gateways than connections at a backend server, they would keep opening and closing connections; and a
+ * gateway with more requests detects slow backend servers sooner. Each failure domain gets the same number, its largest
+ * VMs first. Stopping gateways are chosen only if all are stopping. VMs that are much smaller than the others are left
+ * out if the others have enough capacity.
  * @param members live gateways. @param max_count most gateways to choose; at least one per failure domain is chosen.
  * @return store keys of the active gateways.
  */
@@ -199,9 +199,9 @@
 
 /**
  * Chooses the addresses for one caller: active gateways of its failure domain if there are at least two, else of its
- * region, else all. If the host has home regions, one gateway in the caller's region is enough; without one, gateways
- * in the home regions are chosen, and any others only if no gateway is live there: requests to such a host must not
- * pass through other regions.
+ * region, else all. If the host has home regions, one gateway in the caller's region is enough; if there is none,
+ * gateways in the home regions are chosen, and any others only if no gateway is live there: requests to such a host
+ * must not pass through other regions.
  * @param members live gateways. @param active store keys of the active ones. @param query query of that caller.
  * @param homes home regions of the host; empty: any region. @param random source of the random order.
  * @return addresses, in random order.
--- a/include/cornelspring/places.hpp
+++ b/include/cornelspring/places.hpp
@@ -85,10 +85,10 @@
  * gets the same whole number; the remainder goes to VMs chosen by a hash with the server's id, so that all VMs compute
  * the same division without exchanging messages. VMs to which callers are not sent get a quota of 0.
  *
- * With a limit B, n VMs in the common view and a used share u, all VMs together send at most u x B in any second. A VM
- * that is cut off keeps dividing by the n it last received while the others divide by a smaller number: with a share d
- * of the VMs cut off, the total is at most u x B x (1 + d). A VM that has just started has no quota until the others
- * have received its registration.
+ * With a limit B, n VMs in the common view and a share u of B that is divided, all VMs together send at most u x B in
+ * any second. A VM that is cut off keeps dividing by the n it last received while the others divide by a smaller
+ * number: with a share d of the VMs cut off, the total is at most u x B x (1 + d). A VM that has just started has no
+ * quota until the others have received its registration.
  */
 class warmup_quotas {
 public:
--- a/include/cornelspring/quarantine.hpp
+++ b/include/cornelspring/quarantine.hpp
@@ -78,10 +78,10 @@
 /**
  * Records which requests were in flight at backend servers that crashed without a response, on this VM and on others,
  * and rejects those that crash every server that runs them. Such a server restarts within seconds and the caller
- * repeats the request at any gateway, so neither one attempt nor one VM observes enough of the crashes. A suspect is
- * not rejected, since its backend servers may have failed for another reason: it is sent to one server at a time, and a
- * response clears it. Only a request whose backend servers keep crashing is rejected, and only for a time, since
- * servers get repaired.
+ * repeats the request at any gateway, so the crashes that a single attempt or VM observes are too few to identify it. A
+ * suspect is not rejected, since its backend servers may have failed for another reason: it is sent to one server at a
+ * time, and a response clears it. Only a request whose backend servers keep crashing is rejected, and only for a time,
+ * since servers get repaired.
  */
 class request_quarantine {
 public:
--- a/include/cornelspring/routing.hpp
+++ b/include/cornelspring/routing.hpp
@@ -257,8 +257,8 @@
     std::array<second_count, 16> m_seconds; ///< Ring buffer of seconds; longer than any window in use.
 };
 
-/** Recent share of this VM's queries to which one shard responded, however late. It drops when the shard's backend
- * servers are full or removed. */
+/** Recent share of this VM's queries to which one shard responded, including late responses. It drops when the shard's
+ * backend servers are full or removed. */
 class shard_availability {
 public:
     /** Records the outcome of one query. @param answered whether the shard responded. @param now current time. */
