--- a/include/cornelspring/gateway.hpp
+++ b/include/cornelspring/gateway.hpp
@@ -106,8 +106,8 @@
      *  not canceled. */
     backend_pool(event_loop& loop, pool_options options, std::function<void(attempt_id, attempt_result)> on_result);
     ~backend_pool();
-    /** Sends an attempt. @param order the attempt. */
-    void send(outgoing_attempt order);
+    /** Sends an attempt. @param attempt what to send, and where. */
+    void send(outgoing_attempt attempt);
     /** Cancels an attempt by closing its connection. @param id attempt. */
     void cancel(attempt_id id);
     /** Opens a connection before a request needs it. @param server backend server to connect to. */
--- a/src/gateway/backend_pool.cpp
+++ b/src/gateway/backend_pool.cpp
@@ -40,10 +40,10 @@
     std::uint64_t opened = 0;                                                    ///< Connections opened so far.
     timer_id sweep_timer;                                                        ///< Next sweep.
 
-    std::unique_ptr<client_connection> take_idle(outgoing_attempt const& order);
+    std::unique_ptr<client_connection> take_idle(outgoing_attempt const& attempt);
     /** @return the request with the time left at @p now in its deadline header; empty when none is left. */
-    std::string write_request(outgoing_attempt const& order, time_point now) const;
-    void send(outgoing_attempt order);
+    std::string write_request(outgoing_attempt const& attempt, time_point now) const;
+    void send(outgoing_attempt attempt);
     void on_connect_timeout(attempt_id id);
     void on_exchange_done(attempt_id id, exchange_result result);
     attempt_result classify(exchange_result result) const;
@@ -53,9 +53,9 @@
     void sweep();
 };
 
-std::unique_ptr<client_connection> backend_pool::impl::take_idle(outgoing_attempt const& order)
+std::unique_ptr<client_connection> backend_pool::impl::take_idle(outgoing_attempt const& attempt)
 {
-    auto const found = idle.find(order.target);
+    auto const found = idle.find(attempt.target);
     if (found == idle.end()) return nullptr;
     auto& available = found->second;
     auto const now = loop.now();
@@ -63,7 +63,7 @@
         auto connection = std::move(available.back()); // The one used most recently is the least likely to be dead.
         available.pop_back();
         if (!connection->reusable() || connection->keep_alive_deadline() < now + idle_close_margin) continue;
-        if (!order.idempotent && connection->idle_since() + options.max_idle_non_idempotent < now) continue;
+        if (!attempt.idempotent && connection->idle_since() + options.max_idle_non_idempotent < now) continue;
         connection->on_idle_closed(nullptr);
         return connection;
     }
@@ -74,35 +74,37 @@
  * The deadline header has the time left when the request arrives at the backend server, not when it is serialized. On a
  * full uplink these differ so much that backend servers would process requests whose callers no longer wait.
  */
-std::string backend_pool::impl::write_request(outgoing_attempt const& order, time_point now) const
+std::string backend_pool::impl::write_request(outgoing_attempt const& attempt, time_point now) const
 {
-    auto const remaining = std::chrono::duration_cast<milliseconds>(order.caller_deadline - now - loop.uplink_wait());
+    auto const remaining = std::chrono::duration_cast<milliseconds>(attempt.caller_deadline - now - loop.uplink_wait());
     if (remaining.count() <= 0) return {};
-    return order.head + options.names.deadline + ": " + std::to_string(remaining.count()) + "\r\n\r\n" + order.body;
+    return attempt.head + options.names.deadline + ": " + std::to_string(remaining.count()) + "\r\n\r\n" + attempt.body;
 }
 
-void backend_pool::impl::send(outgoing_attempt order)
+void backend_pool::impl::send(outgoing_attempt attempt)
 {
     active_attempt entry;
-    auto const id = order.id;
-    entry.server = order.target;
-    entry.connection = take_idle(order);
+    auto const id = attempt.id;
+    entry.server = attempt.target;
+    entry.connection = take_idle(attempt);
     bool const fresh = entry.connection == nullptr;
     if (fresh) {
         ++opened;
-        entry.connection = std::make_unique<client_connection>(loop, order.target->registration.address,
+        entry.connection = std::make_unique<client_connection>(loop, attempt.target->registration.address,
                                                                stream_options{}, options.response_limits);
         entry.connect_timer = loop.run_at(loop.now() + options.connect_timeout, [this, id] { on_connect_timeout(id); });
     }
     client_connection::exchange exchange;
-    exchange.head_request = order.head_request;
-    exchange.matches = [this, expected = std::move(order.request_id)](http_response const& response) {
+    exchange.head_request = attempt.head_request;
+    exchange.matches = [this, expected = std::move(attempt.request_id)](http_response const& response) {
         auto const echoed = response.header(options.names.request_id);
         return echoed.empty() || echoed == expected ? client_connection::match::expected
                                                     : client_connection::match::unexpected;
     };
     exchange.done = [this, id](exchange_result result) { on_exchange_done(id, std::move(result)); };
-    exchange.write_request = [this, order = std::move(order)](time_point now) { return write_request(order, now); };
+    exchange.write_request = [this, attempt = std::move(attempt)](time_point now) {
+        return write_request(attempt, now);
+    };
     auto& stored = in_use.emplace(id.value(), std::move(entry)).first->second;
     stored.connection->start(std::move(exchange));
 }
@@ -212,7 +214,7 @@
 
 backend_pool::~backend_pool() { m_impl->loop.cancel(m_impl->sweep_timer); }
 
-void backend_pool::send(outgoing_attempt order) { m_impl->send(std::move(order)); }
+void backend_pool::send(outgoing_attempt attempt) { m_impl->send(std::move(attempt)); }
 
 void backend_pool::cancel(attempt_id id)
 {
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -26,7 +26,7 @@
         wake_dispatcher();
     });
     dispatcher_hooks hooks;
-    hooks.send = [this](outgoing_attempt order) { pool->send(std::move(order)); };
+    hooks.send = [this](outgoing_attempt attempt) { pool->send(std::move(attempt)); };
     hooks.cancel = [this](attempt_id id) { pool->cancel(id); };
     hooks.respond = [this](request_key key, http_response response) { callers->respond(key, std::move(response)); };
     hooks.on_finished = [this](request_summary const& summary) {
