--- a/src/emulator/emulator.cpp
+++ b/src/emulator/emulator.cpp
@@ -80,7 +80,7 @@
     void apply_fault(emulated_fault const& fault, std::vector<modelled_server*> const& struck, bool begins);
 
     emulated_deployment m_deployment;                        ///< Input.
-    agenda m_todo;                                           ///< Time.
+    event_queue m_todo;                                      ///< Time.
     std::mt19937_64 m_random;                                ///< All draws.
     std::vector<std::unique_ptr<modelled_server>> m_servers; ///< Backend servers.
     std::map<std::string, std::size_t> m_server_index;       ///< By id.
@@ -197,7 +197,7 @@
     auto const next = vm.requests->next_due();
     if (!next || *next >= vm.wake) return;
     vm.wake = std::max(*next, m_todo.now());
-    m_todo.at(vm.wake, [this, &vm, when = vm.wake] {
+    m_todo.schedule(vm.wake, [this, &vm, when = vm.wake] {
         if (vm.wake != when) return;
         vm.wake = time_point::max();
         vm.requests->on_timer(m_todo.now());
@@ -230,7 +230,7 @@
     work->work_ms = draw_work(*kind);
     if (order.request_id == crashing_path) work->crashes = [this] { on_crashed(); };
     work->done = [this, &vm, id = order.id, way, life = vm.life](attempt_status end) {
-        m_todo.at(m_todo.now() + way, [this, &vm, id, end, life] {
+        m_todo.schedule(m_todo.now() + way, [this, &vm, id, end, life] {
             if (vm.life != life || vm.jobs.erase(id.value()) == 0) return;
             if (end == attempt_status::not_executed) ++m_result.shed;
             http_response response;
@@ -241,7 +241,7 @@
         });
     };
     vm.jobs[order.id.value()] = work;
-    m_todo.at(m_todo.now() + way, [this, index, work] {
+    m_todo.schedule(m_todo.now() + way, [this, index, work] {
         if (!work->cancelled) m_servers[index]->arrive(work);
     });
 }
@@ -268,7 +268,7 @@
 
 void model::tell_crash_records(gateway_vm& vm)
 {
-    m_todo.at(m_todo.now() + from_ms(m_deployment.told_ms), [this, &vm] {
+    m_todo.schedule(m_todo.now() + from_ms(m_deployment.told_ms), [this, &vm] {
         auto const records = m_told[vm.name] = vm.quarantine.own_records(m_todo.now());
         for (auto const& other : m_vms) {
             if (other.get() != &vm) other->quarantine.apply_peer_records(vm.name, records, m_todo.now());
@@ -279,7 +279,7 @@
 void model::plan_arrival(std::size_t kind)
 {
     std::exponential_distribution<double> gap(m_deployment.kinds[kind].per_second * m_rate_factor[kind]);
-    m_todo.at(m_todo.now() + from_ms(gap(m_random) * 1000), [this, kind] {
+    m_todo.schedule(m_todo.now() + from_ms(gap(m_random) * 1000), [this, kind] {
         if (seconds_of(m_todo.now()) >= m_deployment.seconds) return;
         caller_task task;
         task.kind = kind;
@@ -348,7 +348,7 @@
         again.sent_back = refused_after <= from_ms(soon_share * kind.goal_ms);
     auto const after = response.header("retry-after");
     auto const pause = std::min(from_ms(after.empty() || task.repeats ? 0 : std::stod(after) * 1000), left / 3);
-    m_todo.at(m_todo.now() + pause, [this, again] { begin_try(again); });
+    m_todo.schedule(m_todo.now() + pause, [this, again] { begin_try(again); });
 }
 
 void model::settle(caller_task const& task, http_response const& response)
@@ -379,13 +379,13 @@
     for (auto const& fault : m_deployment.faults) {
         if (fault.kind == "crashing_request") {
             for (double at_s = fault.at_s; at_s < fault.at_s + fault.for_s; at_s += fault.x)
-                m_todo.at(epoch + from_ms(at_s * 1000), [this] { start_crashing_request(); });
+                m_todo.schedule(epoch + from_ms(at_s * 1000), [this] { start_crashing_request(); });
             continue;
         }
         auto const struck = struck_by(fault, draw_seed++);
-        m_todo.at(epoch + from_ms(fault.at_s * 1000), [=, this, &fault] { apply_fault(fault, struck, true); });
-        m_todo.at(epoch + from_ms((fault.at_s + fault.for_s) * 1000),
-                  [=, this, &fault] { apply_fault(fault, struck, false); });
+        m_todo.schedule(epoch + from_ms(fault.at_s * 1000), [=, this, &fault] { apply_fault(fault, struck, true); });
+        m_todo.schedule(epoch + from_ms((fault.at_s + fault.for_s) * 1000),
+                        [=, this, &fault] { apply_fault(fault, struck, false); });
     }
 }
 
--- a/src/emulator/agenda.hpp
+++ b/src/emulator/event_queue.hpp
@@ -1,4 +1,4 @@
-/** @file agenda.hpp Virtual time: what is to happen, in its order (internal). */
+/** @file event_queue.hpp Virtual time: what is to happen, in its order (internal). */
 #pragma once
 
 #include <cornelspring/base.hpp>
@@ -14,10 +14,10 @@
 inline constexpr time_point epoch{std::chrono::hours(1)};
 
 /** Things that happen later, in order of time, then of their making. */
-class agenda {
+class event_queue {
 public:
     /** Adds @p task. @param when due time. @param task work. */
-    void at(time_point when, std::function<void()> task) { m_tasks.push({when, m_made++, std::move(task)}); }
+    void schedule(time_point when, std::function<void()> task) { m_tasks.push({when, m_made++, std::move(task)}); }
     /** Runs everything until @p end. @param end last time. */
     void run_until(time_point end)
     {
--- a/src/emulator/modelled_server.hpp
+++ b/src/emulator/modelled_server.hpp
@@ -1,7 +1,7 @@
 /** @file modelled_server.hpp A backend server of the emulator: slots, queue, pauses, faults (internal). */
 #pragma once
 
-#include "agenda.hpp"
+#include "event_queue.hpp"
 
 #include <cornelspring/emulator.hpp>
 
@@ -24,7 +24,7 @@
 /** A backend server: slots, queue, pauses, faults. */
 class modelled_server {
 public:
-    modelled_server(agenda& todo, emulated_deployment const& deployment, std::mt19937_64& random)
+    modelled_server(event_queue& todo, emulated_deployment const& deployment, std::mt19937_64& random)
         : m_todo(todo), m_deployment(deployment), m_random(random)
     {
         plan_pause();
@@ -65,9 +65,9 @@
     {
         if (m_deployment.pause_every_s <= 0) return;
         std::exponential_distribution<double> gap(1.0 / m_deployment.pause_every_s);
-        m_todo.at(m_todo.now() + from_ms(gap(m_random) * 1000), [this] {
+        m_todo.schedule(m_todo.now() + from_ms(gap(m_random) * 1000), [this] {
             m_paused_until = m_todo.now() + from_ms(m_deployment.pause_ms);
-            m_todo.at(m_paused_until, [this] {
+            m_todo.schedule(m_paused_until, [this] {
                 start_some();
                 plan_pause();
             });
@@ -80,7 +80,7 @@
             m_queue.pop_front();
             if (work->cancelled) continue;
             m_at_work.push_back(work);
-            m_todo.at(m_todo.now() + from_ms(work->work_ms * slowdown), [this, work] { finish(work); });
+            m_todo.schedule(m_todo.now() + from_ms(work->work_ms * slowdown), [this, work] { finish(work); });
         }
     }
     void finish(std::shared_ptr<job> const& work)
@@ -88,13 +88,13 @@
         auto const found = std::find(m_at_work.begin(), m_at_work.end(), work);
         if (found == m_at_work.end()) return; // The server has crashed meanwhile.
         if (m_todo.now() < m_paused_until) {  // A pause holds up what runs, too.
-            m_todo.at(m_paused_until, [this, work] { finish(work); });
+            m_todo.schedule(m_paused_until, [this, work] { finish(work); });
             return;
         }
         if (work->crashes) {
             work->crashes();
             crash(true);
-            m_todo.at(m_todo.now() + from_ms(m_deployment.down_s * 1000), [this] { crash(false); });
+            m_todo.schedule(m_todo.now() + from_ms(m_deployment.down_s * 1000), [this] { crash(false); });
             return;
         }
         m_at_work.erase(found);
@@ -104,7 +104,7 @@
 
     std::size_t slots() const { return static_cast<std::size_t>(m_deployment.slots); }
 
-    agenda& m_todo;                              ///< Time.
+    event_queue& m_todo;                         ///< Time.
     emulated_deployment const& m_deployment;     ///< Sizes.
     std::mt19937_64& m_random;                   ///< Pauses.
     std::deque<std::shared_ptr<job>> m_queue;    ///< Waiting.
--- a/tests/feed_fleet.cpp
+++ b/tests/feed_fleet.cpp
@@ -63,8 +63,8 @@
             send_response({response.status, "", response.batch});
         }
     };
-    hooks.run_at = [this](time_point when, std::function<void()> task) { m_agenda.at(when, std::move(task)); };
-    hooks.now = [this] { return m_agenda.now(); };
+    hooks.run_at = [this](time_point when, std::function<void()> task) { m_events.schedule(when, std::move(task)); };
+    hooks.now = [this] { return m_events.now(); };
     vm.publisher = std::make_unique<state_publisher>(vm.mirror, std::move(hooks));
     feed_io io;
     io.fetch = [this, i, &vm](feed_call const& call, feed_io::response_handler const& done) {
@@ -76,9 +76,9 @@
     io.check_freshness = [this, i](feed_call const& call, feed_io::response_handler const& done) {
         deliver(i, call, done);
     };
-    io.now = [this] { return m_agenda.now(); };
+    io.now = [this] { return m_events.now(); };
     io.run_at = [this](time_point when, std::function<void()> task) {
-        m_agenda.at(std::max(when, m_agenda.now()), std::move(task));
+        m_events.schedule(std::max(when, m_events.now()), std::move(task));
     };
     feed_events events;
     events.on_snapshot = [&vm](auto const& items, store_position as_of) { vm.mirror.replace(items, as_of); };
@@ -178,16 +178,16 @@
 
 clock::duration feed_fleet::use_link(vm_state& vm, std::size_t bytes)
 {
-    vm.link.on_taken(bytes, m_agenda.now());
-    auto const wait = vm.link.wait(m_agenda.now());
+    vm.link.on_taken(bytes, m_events.now());
+    auto const wait = vm.link.wait(m_events.now());
     m_longest_link_wait = std::max(m_longest_link_wait, wait);
     return wait;
 }
 
 clock::duration feed_fleet::use_processor(vm_state& vm, clock::duration time) const
 {
-    vm.busy_until = std::max(vm.busy_until, m_agenda.now()) + time;
-    return vm.busy_until - m_agenda.now();
+    vm.busy_until = std::max(vm.busy_until, m_events.now()) + time;
+    return vm.busy_until - m_events.now();
 }
 
 void feed_fleet::clear_faults()
--- a/tests/feed_fleet.hpp
+++ b/tests/feed_fleet.hpp
@@ -1,7 +1,7 @@
 /** @file feed_fleet.hpp Many gateways that read the state of the store from it and from each other, in virtual time. */
 #pragma once
 
-#include "emulator/agenda.hpp"
+#include "emulator/event_queue.hpp"
 
 #include <cornelspring/feed.hpp>
 
@@ -22,7 +22,7 @@
     feed_fleet(int vms, int domains, std::uint64_t seed);
     ~feed_fleet();
     /** Advances the virtual time. @param span by how much. */
-    void run(milliseconds span) { m_agenda.run_until(m_agenda.now() + span); }
+    void run(milliseconds span) { m_events.run_until(m_events.now() + span); }
     /** Writes a key into the store. @param key key. @param value value. */
     void write(std::string const& key, std::string const& value);
     /** Saves a copy of the store's contents. */
@@ -73,7 +73,7 @@
     /** Runs @p task after @p wait. */
     void after(clock::duration wait, std::function<void()> task)
     {
-        m_agenda.at(m_agenda.now() + wait, std::move(task));
+        m_events.schedule(m_events.now() + wait, std::move(task));
     }
     /** @return a random share of the gateways. */
     std::vector<vm_state*> random_vms(double share);
@@ -99,7 +99,7 @@
         std::shared_ptr<bool> open;                 ///< It has no response yet.
     };
 
-    agenda m_agenda;
+    event_queue m_events;
     state_mirror m_store;
     state_mirror m_saved_copy;
     store_position m_position{store_era(1), 1};
