--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -28,7 +28,7 @@
                               "KIND is service, backend or route.\n";
 
 /** @return the JSON printed for a stored resource. */
-nlohmann::json describe(key_value const& kv)
+nlohmann::json resource_json(key_value const& kv)
 {
     auto body = nlohmann::json::parse(kv.value, nullptr, false);
     if (!body.is_object()) body = {{"raw", kv.value}};
@@ -70,12 +70,12 @@
 /** Prints one resource. */
 int get(store_client& store, resource_kind kind, std::string const& name)
 {
-    auto const [found, at] = store.get(resource_key(kind, name));
+    auto const [found, revision] = store.get(resource_key(kind, name));
     if (!found) {
         throw error(error_kind::not_found, to_string(kind) + "/" + name + " does not exist.",
                     "Run 'cornel-ctl list " + to_string(kind) + "' to see what exists.");
     }
-    std::cout << describe(*found).dump(2) << "\n";
+    std::cout << resource_json(*found).dump(2) << "\n";
     return 0;
 }
 
@@ -84,15 +84,15 @@
 {
     auto const read = store.range_prefix(std::string(resource_prefix) + to_string(kind) + "/");
     for (auto const& kv : read.kvs)
-        std::cout << describe(kv).dump() << "\n";
+        std::cout << resource_json(kv).dump() << "\n";
     return 0;
 }
 
 /** Deletes a resource, at a given revision when asked. */
-int remove(store_client& store, resource_kind kind, std::string const& name, std::int64_t at)
+int remove(store_client& store, resource_kind kind, std::string const& name, std::int64_t revision)
 {
     std::string const key = resource_key(kind, name);
-    std::int64_t expected = at;
+    std::int64_t expected = revision;
     if (expected == 0) {
         auto const found = store.get(key).first;
         if (!found) {
@@ -135,7 +135,7 @@
             nlohmann::json line{{"type", event.is_delete ? "DELETE" : "PUT"},
                                 {"key", event.kv.key},
                                 {"revision", event.kv.mod_revision}};
-            if (!event.is_delete) line["resource"] = describe(event.kv);
+            if (!event.is_delete) line["resource"] = resource_json(event.kv);
             std::cout << line.dump() << std::endl;
             after = std::max(after, event.kv.mod_revision);
             if (max_events != 0 && ++printed >= max_events) break;
@@ -155,8 +155,8 @@
     if (command == "get") return get(store, parse_kind(argument(args, 1, "KIND")), argument(args, 2, "NAME"));
     if (command == "list") return list(store, parse_kind(argument(args, 1, "KIND")));
     if (command == "delete") {
-        std::int64_t const at = args.size() > 3 ? std::stoll(args[3]) : 0;
-        return remove(store, parse_kind(argument(args, 1, "KIND")), argument(args, 2, "NAME"), at);
+        std::int64_t const revision = args.size() > 3 ? std::stoll(args[3]) : 0;
+        return remove(store, parse_kind(argument(args, 1, "KIND")), argument(args, 2, "NAME"), revision);
     }
     if (command == "watch") {
         std::string prefix = resource_prefix;
--- a/src/emulator/deployment_file.cpp
+++ b/src/emulator/deployment_file.cpp
@@ -10,10 +10,10 @@
 
 /** A number in a table: where it goes and its range. */
 template <class T> struct number_field {
-    char const* key; ///< Key.
-    T* target;       ///< Where it goes.
-    double least;    ///< Lowest value.
-    double most;     ///< Highest value.
+    char const* key;  ///< Key.
+    T* target;        ///< Where it goes.
+    double min_value; ///< Lowest value.
+    double max_value; ///< Highest value.
 };
 
 /** Reads numbers of @p table; marks the keys as known. @throw error bad_settings. */
@@ -24,17 +24,18 @@
         known.insert(field.key);
         if (!table.contains(field.key)) continue;
         auto const& value = table[field.key];
-        if (!value.is_number() || value.template get<double>() < field.least ||
-            value.template get<double>() > field.most) {
+        if (!value.is_number() || value.template get<double>() < field.min_value ||
+            value.template get<double>() > field.max_value) {
             throw error(error_kind::bad_settings, std::string("'") + field.key + "' is not a number within its range.",
-                        "Use a number from " + std::to_string(field.least) + " to " + std::to_string(field.most) + ".");
+                        "Use a number from " + std::to_string(field.min_value) + " to " +
+                            std::to_string(field.max_value) + ".");
         }
         *field.target = value.template get<T>();
     }
 }
 
 /** Refuses keys that nothing reads. */
-void refuse_unknown(json const& table, std::set<std::string> const& known, std::string const& where)
+void reject_unknown_keys(json const& table, std::set<std::string> const& known, std::string const& where)
 {
     for (auto const& [key, value] : table.items()) {
         if (known.contains(key)) continue;
@@ -67,7 +68,7 @@
                        {"retries", &kind.retries, 0, 100},
                        {"repeat_tries", &kind.repeat_tries, 0, 100}},
                       known);
-    refuse_unknown(table, known, "[[kind]]");
+    reject_unknown_keys(table, known, "[[kind]]");
     return kind;
 }
 
@@ -89,7 +90,7 @@
                           {"x", &fault.x, 0.01, 1e4},
                           {"share", &fault.share, 0, 1}},
                          known);
-    refuse_unknown(table, known, "[[fault]]");
+    reject_unknown_keys(table, known, "[[fault]]");
     return fault;
 }
 
@@ -98,42 +99,42 @@
 emulated_deployment parse_deployment(std::string const& toml_text, std::string const& source)
 {
     auto const table = toml_to_json(toml_text, source, error_kind::bad_settings);
-    emulated_deployment made;
+    emulated_deployment deployment;
     std::set<std::string> known{"kind", "fault", "without"};
     int seed = 1;
     read_numbers<int>(table,
-                      {{"vms", &made.vms, 1, 500},
-                       {"regions", &made.regions, 1, 20},
-                       {"shards", &made.shards, 1, 1000},
-                       {"replicas", &made.replicas, 1, 10},
-                       {"slots", &made.slots, 1, 1000},
-                       {"queue", &made.queue, 0, 10000},
-                       {"max_connections", &made.max_connections, 1, 100000},
+                      {{"vms", &deployment.vms, 1, 500},
+                       {"regions", &deployment.regions, 1, 20},
+                       {"shards", &deployment.shards, 1, 1000},
+                       {"replicas", &deployment.replicas, 1, 10},
+                       {"slots", &deployment.slots, 1, 1000},
+                       {"queue", &deployment.queue, 0, 10000},
+                       {"max_connections", &deployment.max_connections, 1, 100000},
                        {"seed", &seed, 0, 1e9}},
                       known);
     read_numbers<double>(table,
-                         {{"region_ms", &made.region_ms, 0, 1000},
-                          {"local_ms", &made.local_ms, 0, 1000},
-                          {"pause_ms", &made.pause_ms, 0, 60000},
-                          {"pause_every_s", &made.pause_every_s, 0, 3600},
-                          {"told_ms", &made.told_ms, 0, 60000},
-                          {"down_s", &made.down_s, 0, 3600},
-                          {"retry_ratio", &made.options.budget.ratio, 0, 10},
-                          {"retry_slack", &made.options.budget.slack, 0, 1e6},
-                          {"seconds", &made.seconds, 1, 3600}},
+                         {{"region_ms", &deployment.region_ms, 0, 1000},
+                          {"local_ms", &deployment.local_ms, 0, 1000},
+                          {"pause_ms", &deployment.pause_ms, 0, 60000},
+                          {"pause_every_s", &deployment.pause_every_s, 0, 3600},
+                          {"told_ms", &deployment.told_ms, 0, 60000},
+                          {"down_s", &deployment.down_s, 0, 3600},
+                          {"retry_ratio", &deployment.options.budget.ratio, 0, 10},
+                          {"retry_slack", &deployment.options.budget.slack, 0, 1e6},
+                          {"seconds", &deployment.seconds, 1, 3600}},
                          known);
-    refuse_unknown(table, known, source);
-    made.seed = static_cast<std::uint64_t>(seed);
-    for (auto const& mechanism : table.value("without", json::array()))
-        disable_feature(made.options, mechanism.get<std::string>());
+    reject_unknown_keys(table, known, source);
+    deployment.seed = static_cast<std::uint64_t>(seed);
+    for (auto const& feature : table.value("without", json::array()))
+        disable_feature(deployment.options, feature.get<std::string>());
     for (auto const& kind : table.value("kind", json::array()))
-        made.kinds.push_back(parse_kind(kind));
+        deployment.kinds.push_back(parse_kind(kind));
     for (auto const& fault : table.value("fault", json::array()))
-        made.faults.push_back(parse_fault(fault));
-    if (made.kinds.empty()) {
+        deployment.faults.push_back(parse_fault(fault));
+    if (deployment.kinds.empty()) {
         throw error(error_kind::bad_settings, source + " names no kind of request.", "Add at least one [[kind]].");
     }
-    return made;
+    return deployment;
 }
 
 json to_json(emulation_result const& result)
@@ -142,7 +143,7 @@
     for (auto const& kind : result.kinds) {
         auto sorted = kind.latency_ms;
         std::sort(sorted.begin(), sorted.end());
-        auto const at = [&sorted](double share) {
+        auto const percentile = [&sorted](double share) {
             return sorted.empty() ? 0.0
                                   : sorted[static_cast<std::size_t>(share * static_cast<double>(sorted.size() - 1))];
         };
@@ -154,9 +155,9 @@
                          {"failed", kind.failed},
                          {"earned", kind.earned},
                          {"owed", kind.owed},
-                         {"p50_ms", at(0.5)},
-                         {"p90_ms", at(0.9)},
-                         {"p99_ms", at(0.99)}});
+                         {"p50_ms", percentile(0.5)},
+                         {"p90_ms", percentile(0.9)},
+                         {"p99_ms", percentile(0.99)}});
     }
     return {{"earned_share", result.earned_share()},     {"attempts", result.attempts},
             {"other_region", result.other_region},       {"shed", result.shed},
--- a/src/emulator/emulator.cpp
+++ b/src/emulator/emulator.cpp
@@ -8,18 +8,18 @@
 namespace {
 
 /** @return seconds since the begin. */
-double seconds_of(time_point now) { return std::chrono::duration<double>(now - epoch).count(); }
+double seconds_since_start(time_point now) { return std::chrono::duration<double>(now - epoch).count(); }
 
 /** A caller's request, over its tries. */
-struct caller_task {
-    std::size_t kind = 0;     ///< Kind.
-    time_point begun;         ///< First try.
-    int tries = 0;            ///< Tries begun.
-    std::size_t region = 0;   ///< Caller's region.
-    time_point try_begun;     ///< Present try.
-    bool sent_back = false;   ///< Its first try was refused at once.
-    bool repeats = false;     ///< It repeats at once, whatever it is told.
-    std::uint64_t number = 0; ///< Tells it from others, in its path.
+struct caller_request {
+    std::size_t kind = 0;        ///< Kind.
+    time_point started_at;       ///< First try.
+    int tries = 0;               ///< Tries begun.
+    std::size_t region = 0;      ///< Caller's region.
+    time_point try_started_at;   ///< Present try.
+    bool rejected_early = false; ///< Its first try was refused at once.
+    bool repeats = false;        ///< It repeats at once, whatever it is told.
+    std::uint64_t number = 0;    ///< Tells it from others, in its path.
 };
 
 /** Path of a crashing request, behind its kind. */
@@ -27,7 +27,7 @@
 /** A crashing request is known to all gateways so long after it has crashed the third server. */
 constexpr double known_after_s = 5;
 /** Crashes from which on it has to be known. */
-constexpr int crashes_to_know = 3;
+constexpr int crashes_until_known = 3;
 
 /** The whole model. */
 class model {
@@ -38,61 +38,62 @@
 private:
     /** A gateway: its own view and decisions. */
     struct gateway_vm {
-        std::string name;                                             ///< Name.
-        std::size_t region = 0;                                       ///< Region.
-        config_holder configs;                                        ///< Configuration.
-        std::unique_ptr<backend_registry> registry;                   ///< Backend servers.
-        placement_rules placement;                                    ///< Which of them a request may reach.
-        request_quarantine quarantine;                                ///< Requests that crash backend servers.
-        std::unique_ptr<dispatcher> requests;                         ///< Decisions.
-        std::unordered_map<std::uint64_t, caller_task> open;          ///< Callers by request key.
-        std::unordered_map<std::uint64_t, std::shared_ptr<job>> jobs; ///< Attempts under way.
-        std::uint64_t last_key = 0;                                   ///< Last request key.
-        time_point wake = time_point::max();                          ///< When its dispatcher is woken.
-        std::uint64_t life = 0;                                       ///< Counts restarts.
+        std::string name;                                                     ///< Name.
+        std::size_t region = 0;                                               ///< Region.
+        config_holder configs;                                                ///< Configuration.
+        std::unique_ptr<backend_registry> registry;                           ///< Backend servers.
+        placement_rules placement;                                            ///< Which of them a request may reach.
+        request_quarantine quarantine;                                        ///< Requests that crash backend servers.
+        std::unique_ptr<dispatcher> request_dispatcher;                       ///< Decisions.
+        std::unordered_map<std::uint64_t, caller_request> requests_in_flight; ///< Callers by request key.
+        std::unordered_map<std::uint64_t, std::shared_ptr<modelled_attempt>>
+            attempts_in_flight;                 ///< Attempts under way.
+        std::uint64_t last_key = 0;             ///< Last request key.
+        time_point wake_at = time_point::max(); ///< When its dispatcher is woken.
+        std::uint64_t incarnation = 0;          ///< Counts restarts.
     };
 
     domain_name domain(std::size_t region) const { return domain_name("d" + std::to_string(region)); }
     std::shared_ptr<serving_config const> make_config() const;
-    void boot(gateway_vm& vm);
-    void wake(gateway_vm& vm);
-    void plan_arrival(std::size_t kind);
-    void begin_try(caller_task task);
-    void send(gateway_vm& vm, outgoing_attempt order);
-    void answered(gateway_vm& vm, request_key key, http_response const& response);
-    void try_again(caller_task const& task, http_response const& response);
-    void settle(caller_task const& task, http_response const& response);
+    void start_gateway(gateway_vm& vm);
+    void schedule_wake(gateway_vm& vm);
+    void schedule_arrival(std::size_t kind);
+    void start_try(caller_request request);
+    void send(gateway_vm& vm, outgoing_attempt attempt);
+    void on_response(gateway_vm& vm, request_key key, http_response const& response);
+    void retry_or_finish(caller_request const& request, http_response const& response);
+    void record_outcome(caller_request const& request, http_response const& response);
     double draw_work(emulated_kind const& kind);
     double one_way_ms(std::size_t from, std::size_t to) const
     {
         return from == to ? m_deployment.local_ms : m_deployment.region_ms;
     }
-    void plan_faults();
+    void schedule_faults();
     /** A request that crashes the servers that run it comes to some gateway. */
     void start_crashing_request();
     /** A server has ended under it. */
-    void on_crashed();
+    void on_server_crash();
     /** A gateway tells the others what it has seen of crashing requests. */
-    void tell_crash_records(gateway_vm& vm);
+    void publish_crash_records(gateway_vm& vm);
     /** @return the backend servers that a fault strikes. */
-    std::vector<modelled_server*> struck_by(emulated_fault const& fault, std::uint64_t seed) const;
+    std::vector<modelled_server*> affected_by(emulated_fault const& fault, std::uint64_t seed) const;
     /** Begins or ends a fault. */
-    void apply_fault(emulated_fault const& fault, std::vector<modelled_server*> const& struck, bool begins);
+    void apply_fault(emulated_fault const& fault, std::vector<modelled_server*> const& affected, bool starts);
 
     emulated_deployment m_deployment;                        ///< Input.
-    event_queue m_todo;                                      ///< Time.
+    event_queue m_events;                                    ///< Time.
     std::mt19937_64 m_random;                                ///< All draws.
     std::vector<std::unique_ptr<modelled_server>> m_servers; ///< Backend servers.
     std::map<std::string, std::size_t> m_server_index;       ///< By id.
     std::vector<std::unique_ptr<gateway_vm>> m_vms;          ///< Gateways.
     std::vector<double> m_rate_factor;                       ///< By kind: present factor on arrivals.
     std::mt19937_64 m_crashing_random{1};                    ///< Where crashing requests come, apart from all else.
-    std::map<std::string, std::vector<crash_record>> m_told; ///< What gateways have told of them, by name.
-    std::uint64_t m_last_task = 0;                           ///< Last number of a caller's request.
-    time_point m_known_from = time_point::max();             ///< From then on it has to be known.
-    emulation_result m_result;                               ///< Output.
-    std::vector<double> m_earned;                            ///< By second.
-    std::vector<double> m_owed;                              ///< By second.
+    std::map<std::string, std::vector<crash_record>> m_published_records; ///< What gateways have told of them, by name.
+    std::uint64_t m_last_request_number = 0;                              ///< Last number of a caller's request.
+    time_point m_known_from = time_point::max();                          ///< From then on it has to be known.
+    emulation_result m_result;                                            ///< Output.
+    std::vector<double> m_earned;                                         ///< By second.
+    std::vector<double> m_owed;                                           ///< By second.
 };
 
 model::model(emulated_deployment const& deployment) : m_deployment(deployment), m_random(deployment.seed)
@@ -101,14 +102,14 @@
                                   "not-run",    "warmup",   "parts",  "missing"};
     auto const count = m_deployment.shards * m_deployment.replicas;
     for (int i = 0; i < count; ++i) {
-        m_servers.push_back(std::make_unique<modelled_server>(m_todo, m_deployment, m_random));
+        m_servers.push_back(std::make_unique<modelled_server>(m_events, m_deployment, m_random));
         m_server_index["b" + std::to_string(i)] = static_cast<std::size_t>(i);
     }
     for (int i = 0; i < m_deployment.vms; ++i) {
         m_vms.push_back(std::make_unique<gateway_vm>());
         m_vms.back()->name = "vm" + std::to_string(i);
         m_vms.back()->region = static_cast<std::size_t>(i % m_deployment.regions);
-        boot(*m_vms.back());
+        start_gateway(*m_vms.back());
     }
     m_rate_factor.assign(m_deployment.kinds.size(), 1.0);
     auto const seconds = static_cast<std::size_t>(m_deployment.seconds) + 1;
@@ -128,41 +129,41 @@
         services[gather.shards.back()] = {m_deployment.max_connections, {}};
     }
     for (auto const& kind : m_deployment.kinds) {
-        route made;
-        made.name = kind.name;
-        made.host = "h";
-        made.prefix = "/" + kind.name + "/";
-        made.timeout = milliseconds(kind.deadline_ms);
-        made.goal = milliseconds(kind.goal_ms);
-        made.priority = kind.priority;
-        made.attempts = 2;
+        route kind_route;
+        kind_route.name = kind.name;
+        kind_route.host = "h";
+        kind_route.prefix = "/" + kind.name + "/";
+        kind_route.timeout = milliseconds(kind.deadline_ms);
+        kind_route.goal = milliseconds(kind.goal_ms);
+        kind_route.priority = kind.priority;
+        kind_route.attempts = 2;
         gather.min_coverage = kind.min_coverage;
-        made.gather = gather;
-        routes.push_back(std::move(made));
+        kind_route.gather = gather;
+        routes.push_back(std::move(kind_route));
     }
     return std::make_shared<serving_config const>(config_version(1), std::move(routes), std::move(services),
                                                   caller_limits{});
 }
 
-void model::boot(gateway_vm& vm)
+void model::start_gateway(gateway_vm& vm)
 {
-    locality place{domain(vm.region), region_name("r" + std::to_string(vm.region)), {}};
+    locality location{domain(vm.region), region_name("r" + std::to_string(vm.region)), {}};
     for (int i = 0; i < m_deployment.regions; ++i) {
-        place.regions[domain(static_cast<std::size_t>(i))] = region_name("r" + std::to_string(i));
+        location.regions[domain(static_cast<std::size_t>(i))] = region_name("r" + std::to_string(i));
     }
-    ++vm.life;
-    vm.requests.reset();
-    vm.registry = std::make_unique<backend_registry>(place, milliseconds(2200));
-    vm.jobs.clear();
-    auto const cut = std::exchange(vm.open, {});
-    for (auto const& [key, task] : cut)
-        try_again(task, {});
+    ++vm.incarnation;
+    vm.request_dispatcher.reset();
+    vm.registry = std::make_unique<backend_registry>(location, milliseconds(2200));
+    vm.attempts_in_flight.clear();
+    auto const interrupted = std::exchange(vm.requests_in_flight, {});
+    for (auto const& [key, request] : interrupted)
+        retry_or_finish(request, {});
     vm.quarantine = request_quarantine();
-    for (auto const& [name, records] : m_told) {
-        if (name != vm.name) vm.quarantine.apply_peer_records(name, records, m_todo.now());
+    for (auto const& [name, records] : m_published_records) {
+        if (name != vm.name) vm.quarantine.apply_peer_records(name, records, m_events.now());
     }
     vm.quarantine.on_change([this, &vm](request_quarantine::change const& change) {
-        if (change.own_record_changed) tell_crash_records(vm);
+        if (change.own_record_changed) publish_crash_records(vm);
     });
     vm.configs.set_if_newer(make_config());
     int number = 0;
@@ -173,35 +174,35 @@
             entry.service = service_name("s" + std::to_string(shard));
             entry.domain = domain(static_cast<std::size_t>((shard + replica) % m_deployment.regions));
             entry.slots = m_deployment.slots;
-            vm.registry->apply(entry, m_todo.now());
+            vm.registry->apply(entry, m_events.now());
         }
     }
     dispatcher_hooks hooks;
-    hooks.send = [this, &vm](outgoing_attempt order) { send(vm, std::move(order)); };
+    hooks.send = [this, &vm](outgoing_attempt attempt) { send(vm, std::move(attempt)); };
     hooks.cancel = [&vm](attempt_id id) {
-        if (auto const found = vm.jobs.find(id.value()); found != vm.jobs.end()) {
+        if (auto const found = vm.attempts_in_flight.find(id.value()); found != vm.attempts_in_flight.end()) {
             found->second->cancelled = true;
-            vm.jobs.erase(found);
+            vm.attempts_in_flight.erase(found);
         }
     };
-    hooks.respond = [this, &vm](request_key key, http_response response) { answered(vm, key, response); };
+    hooks.respond = [this, &vm](request_key key, http_response response) { on_response(vm, key, response); };
     hooks.on_finished = [](request_summary const&) {};
-    vm.requests = std::make_unique<dispatcher>(m_deployment.options, vm.configs, *vm.registry, vm.placement,
-                                               vm.quarantine, std::move(hooks), m_random());
+    vm.request_dispatcher = std::make_unique<dispatcher>(m_deployment.options, vm.configs, *vm.registry, vm.placement,
+                                                         vm.quarantine, std::move(hooks), m_random());
 
-    vm.requests->set_vm_count(static_cast<std::size_t>(m_deployment.vms));
+    vm.request_dispatcher->set_vm_count(static_cast<std::size_t>(m_deployment.vms));
 }
 
-void model::wake(gateway_vm& vm)
+void model::schedule_wake(gateway_vm& vm)
 {
-    auto const next = vm.requests->next_due();
-    if (!next || *next >= vm.wake) return;
-    vm.wake = std::max(*next, m_todo.now());
-    m_todo.schedule(vm.wake, [this, &vm, when = vm.wake] {
-        if (vm.wake != when) return;
-        vm.wake = time_point::max();
-        vm.requests->on_timer(m_todo.now());
-        wake(vm);
+    auto const next = vm.request_dispatcher->next_due();
+    if (!next || *next >= vm.wake_at) return;
+    vm.wake_at = std::max(*next, m_events.now());
+    m_events.schedule(vm.wake_at, [this, &vm, when = vm.wake_at] {
+        if (vm.wake_at != when) return;
+        vm.wake_at = time_point::max();
+        vm.request_dispatcher->on_timer(m_events.now());
+        schedule_wake(vm);
     });
 }
 
@@ -213,36 +214,37 @@
     return std::bernoulli_distribution(kind.tail_share)(m_random) ? drawn * kind.tail_factor : drawn;
 }
 
-void model::send(gateway_vm& vm, outgoing_attempt order)
+void model::send(gateway_vm& vm, outgoing_attempt attempt)
 {
-    auto const index = m_server_index.at(order.target->registration.id.value());
+    auto const index = m_server_index.at(attempt.target->registration.id.value());
     std::size_t region = 0;
-    while (domain(region) != order.target->registration.domain)
+    while (domain(region) != attempt.target->registration.domain)
         ++region;
     ++m_result.attempts;
     if (region != vm.region) ++m_result.other_region;
-    auto const way = from_ms(one_way_ms(vm.region, region));
-    auto const slash = order.head.find('/', order.head.find('/') + 1);
-    auto const name = order.head.substr(order.head.find('/') + 1, slash - order.head.find('/') - 1);
+    auto const delay = from_ms(one_way_ms(vm.region, region));
+    auto const slash = attempt.head.find('/', attempt.head.find('/') + 1);
+    auto const name = attempt.head.substr(attempt.head.find('/') + 1, slash - attempt.head.find('/') - 1);
     auto const kind = std::find_if(m_deployment.kinds.begin(), m_deployment.kinds.end(),
                                    [&](auto const& k) { return k.name == name; });
-    auto work = std::make_shared<job>();
-    work->work_ms = draw_work(*kind);
-    if (order.request_id == crashing_path) work->crashes = [this] { on_crashed(); };
-    work->done = [this, &vm, id = order.id, way, life = vm.life](attempt_status end) {
-        m_todo.schedule(m_todo.now() + way, [this, &vm, id, end, life] {
-            if (vm.life != life || vm.jobs.erase(id.value()) == 0) return;
-            if (end == attempt_status::not_executed) ++m_result.shed;
+    auto server_attempt = std::make_shared<modelled_attempt>();
+    server_attempt->work_ms = draw_work(*kind);
+    if (attempt.request_id == crashing_path) server_attempt->on_crash = [this] { on_server_crash(); };
+    server_attempt->complete = [this, &vm, id = attempt.id, delay,
+                                incarnation = vm.incarnation](attempt_status outcome) {
+        m_events.schedule(m_events.now() + delay, [this, &vm, id, outcome, incarnation] {
+            if (vm.incarnation != incarnation || vm.attempts_in_flight.erase(id.value()) == 0) return;
+            if (outcome == attempt_status::not_executed) ++m_result.shed;
             http_response response;
             response.headers = {{"signature", std::to_string(id.value())}};
             response.body.assign(record_size, 'r');
-            vm.requests->on_result(id, {end, std::move(response), ""}, m_todo.now());
-            wake(vm);
+            vm.request_dispatcher->on_result(id, {outcome, std::move(response), ""}, m_events.now());
+            schedule_wake(vm);
         });
     };
-    vm.jobs[order.id.value()] = work;
-    m_todo.schedule(m_todo.now() + way, [this, index, work] {
-        if (!work->cancelled) m_servers[index]->arrive(work);
+    vm.attempts_in_flight[attempt.id.value()] = server_attempt;
+    m_events.schedule(m_events.now() + delay, [this, index, server_attempt] {
+        if (!server_attempt->cancelled) m_servers[index]->receive(server_attempt);
     });
 }
 
@@ -255,179 +257,181 @@
                        {"request-id", crashing_path},
                        {"deadline", std::to_string(m_deployment.kinds.front().deadline_ms)}};
     auto const before = m_result.attempts;
-    vm.requests->start(request_key(++vm.last_key), std::move(message), {}, {}, m_todo.now());
-    if (m_todo.now() >= m_known_from && m_result.attempts > before) ++m_result.crashing_repeats;
-    wake(vm);
+    vm.request_dispatcher->start(request_key(++vm.last_key), std::move(message), {}, {}, m_events.now());
+    if (m_events.now() >= m_known_from && m_result.attempts > before) ++m_result.crashing_repeats;
+    schedule_wake(vm);
 }
 
-void model::on_crashed()
+void model::on_server_crash()
 {
-    if (++m_result.servers_crashed != crashes_to_know) return;
-    m_known_from = m_todo.now() + from_ms(known_after_s * 1000);
+    if (++m_result.servers_crashed != crashes_until_known) return;
+    m_known_from = m_events.now() + from_ms(known_after_s * 1000);
 }
 
-void model::tell_crash_records(gateway_vm& vm)
+void model::publish_crash_records(gateway_vm& vm)
 {
-    m_todo.schedule(m_todo.now() + from_ms(m_deployment.told_ms), [this, &vm] {
-        auto const records = m_told[vm.name] = vm.quarantine.own_records(m_todo.now());
+    m_events.schedule(m_events.now() + from_ms(m_deployment.told_ms), [this, &vm] {
+        auto const records = m_published_records[vm.name] = vm.quarantine.own_records(m_events.now());
         for (auto const& other : m_vms) {
-            if (other.get() != &vm) other->quarantine.apply_peer_records(vm.name, records, m_todo.now());
+            if (other.get() != &vm) other->quarantine.apply_peer_records(vm.name, records, m_events.now());
         }
     });
 }
 
-void model::plan_arrival(std::size_t kind)
+void model::schedule_arrival(std::size_t kind)
 {
     std::exponential_distribution<double> gap(m_deployment.kinds[kind].per_second * m_rate_factor[kind]);
-    m_todo.schedule(m_todo.now() + from_ms(gap(m_random) * 1000), [this, kind] {
-        if (seconds_of(m_todo.now()) >= m_deployment.seconds) return;
-        caller_task task;
-        task.kind = kind;
-        task.number = ++m_last_task;
-        task.begun = m_todo.now();
-        task.repeats = std::bernoulli_distribution(m_deployment.kinds[kind].repeat_share)(m_random);
-        task.region = m_random() % static_cast<std::size_t>(m_deployment.regions);
+    m_events.schedule(m_events.now() + from_ms(gap(m_random) * 1000), [this, kind] {
+        if (seconds_since_start(m_events.now()) >= m_deployment.seconds) return;
+        caller_request request;
+        request.kind = kind;
+        request.number = ++m_last_request_number;
+        request.started_at = m_events.now();
+        request.repeats = std::bernoulli_distribution(m_deployment.kinds[kind].repeat_share)(m_random);
+        request.region = m_random() % static_cast<std::size_t>(m_deployment.regions);
         ++m_result.kinds[kind].asked;
         auto const worth = m_deployment.kinds[kind].worth;
         m_result.kinds[kind].owed += worth;
-        m_owed[static_cast<std::size_t>(seconds_of(task.begun))] += worth;
-        begin_try(task);
-        plan_arrival(kind);
+        m_owed[static_cast<std::size_t>(seconds_since_start(request.started_at))] += worth;
+        start_try(request);
+        schedule_arrival(kind);
     });
 }
 
-void model::begin_try(caller_task task)
+void model::start_try(caller_request request)
 {
-    ++task.tries;
-    task.try_begun = m_todo.now();
-    std::vector<gateway_vm*> near;
+    ++request.tries;
+    request.try_started_at = m_events.now();
+    std::vector<gateway_vm*> nearby;
     for (auto const& vm : m_vms) {
-        if (vm->region == task.region) near.push_back(vm.get());
+        if (vm->region == request.region) nearby.push_back(vm.get());
     }
-    auto& vm = near.empty() ? *m_vms[m_random() % m_vms.size()] : *near[m_random() % near.size()];
-    auto const& kind = m_deployment.kinds[task.kind];
-    auto const left = from_ms(kind.deadline_ms) - (m_todo.now() - task.begun);
+    auto& vm = nearby.empty() ? *m_vms[m_random() % m_vms.size()] : *nearby[m_random() % nearby.size()];
+    auto const& kind = m_deployment.kinds[request.kind];
+    auto const time_left = from_ms(kind.deadline_ms) - (m_events.now() - request.started_at);
     http_request message;
-    message.path = "/" + kind.name + "/" + std::to_string(task.number);
+    message.path = "/" + kind.name + "/" + std::to_string(request.number);
     message.headers = {{"host", "h"},
                        {"request-id", "id"},
-                       {"deadline", std::to_string(std::chrono::duration_cast<milliseconds>(left).count())}};
+                       {"deadline", std::to_string(std::chrono::duration_cast<milliseconds>(time_left).count())}};
     request_key const key(++vm.last_key);
-    vm.open[key.value()] = task;
-    vm.requests->start(key, std::move(message), {}, {}, m_todo.now());
-    wake(vm);
+    vm.requests_in_flight[key.value()] = request;
+    vm.request_dispatcher->start(key, std::move(message), {}, {}, m_events.now());
+    schedule_wake(vm);
 }
 
-void model::answered(gateway_vm& vm, request_key key, http_response const& response)
+void model::on_response(gateway_vm& vm, request_key key, http_response const& response)
 {
-    auto const found = vm.open.find(key.value());
-    if (found == vm.open.end()) return;
-    auto const task = found->second;
-    vm.open.erase(found);
+    auto const found = vm.requests_in_flight.find(key.value());
+    if (found == vm.requests_in_flight.end()) return;
+    auto const request = found->second;
+    vm.requests_in_flight.erase(found);
     if (response.status == 200) {
-        settle(task, response);
+        record_outcome(request, response);
     } else {
-        try_again(task, response);
+        retry_or_finish(request, response);
     }
 }
 
 /** A caller whose try failed begins another when it may, after the time it was told. */
-void model::try_again(caller_task const& task, http_response const& response)
+void model::retry_or_finish(caller_request const& request, http_response const& response)
 {
-    auto const& kind = m_deployment.kinds[task.kind];
-    auto const left = from_ms(kind.deadline_ms) - (m_todo.now() - task.begun);
-    if (task.tries > (task.repeats ? kind.repeat_tries : kind.retries) || left <= from_ms(0)) {
-        settle(task, response);
+    auto const& kind = m_deployment.kinds[request.kind];
+    auto const time_left = from_ms(kind.deadline_ms) - (m_events.now() - request.started_at);
+    if (request.tries > (request.repeats ? kind.repeat_tries : kind.retries) || time_left <= from_ms(0)) {
+        record_outcome(request, response);
         return;
     }
-    auto again = task;
-    auto const refused_after = m_todo.now() - task.begun;
+    auto next_try = request;
+    auto const refused_after = m_events.now() - request.started_at;
     // A caller that learns soon to come back later counts the time from then on, at part of the value.
-    constexpr double soon_share = 0.25;
-    if (task.tries == 1 && response.status == 503)
-        again.sent_back = refused_after <= from_ms(soon_share * kind.goal_ms);
+    constexpr double early_share = 0.25;
+    if (request.tries == 1 && response.status == 503)
+        next_try.rejected_early = refused_after <= from_ms(early_share * kind.goal_ms);
     auto const after = response.header("retry-after");
-    auto const pause = std::min(from_ms(after.empty() || task.repeats ? 0 : std::stod(after) * 1000), left / 3);
-    m_todo.schedule(m_todo.now() + pause, [this, again] { begin_try(again); });
+    auto const pause = std::min(from_ms(after.empty() || request.repeats ? 0 : std::stod(after) * 1000), time_left / 3);
+    m_events.schedule(m_events.now() + pause, [this, next_try] { start_try(next_try); });
 }
 
-void model::settle(caller_task const& task, http_response const& response)
+void model::record_outcome(caller_request const& request, http_response const& response)
 {
-    auto& outcome = m_result.kinds[task.kind];
-    auto const& kind = m_deployment.kinds[task.kind];
+    auto& outcome = m_result.kinds[request.kind];
+    auto const& kind = m_deployment.kinds[request.kind];
     if (response.status != 200 || response.headers.empty()) {
         ++(response.status == 503 ? outcome.refused : outcome.failed);
         return;
     }
-    double const took_ms = std::chrono::duration<double, std::milli>(m_todo.now() - task.begun).count();
+    double const took_ms = std::chrono::duration<double, std::milli>(m_events.now() - request.started_at).count();
     double const missing = std::stod(response.header("missing"));
     double const coverage = 1 - missing / m_deployment.shards;
     bool const in_goal = took_ms <= kind.goal_ms;
     ++(in_goal ? outcome.in_goal : outcome.late);
     outcome.latency_ms.push_back(took_ms);
-    double const try_ms = std::chrono::duration<double, std::milli>(m_todo.now() - task.try_begun).count();
+    double const try_ms = std::chrono::duration<double, std::milli>(m_events.now() - request.try_started_at).count();
     double value = in_goal ? 1 : kind.late_worth;
-    if (!in_goal && task.sent_back && try_ms <= kind.goal_ms) value = (1 + kind.late_worth) / 2;
+    if (!in_goal && request.rejected_early && try_ms <= kind.goal_ms) value = (1 + kind.late_worth) / 2;
     double const worth = kind.worth * coverage * coverage * value;
     outcome.earned += worth;
-    m_earned[static_cast<std::size_t>(seconds_of(task.begun))] += worth;
+    m_earned[static_cast<std::size_t>(seconds_since_start(request.started_at))] += worth;
 }
 
-void model::plan_faults()
+void model::schedule_faults()
 {
-    auto draw_seed = m_deployment.seed * 1000; // Drawn apart from all else, so that a fault more changes no other draw.
+    auto fault_seed =
+        m_deployment.seed * 1000; // Drawn apart from all else, so that a fault more changes no other draw.
     for (auto const& fault : m_deployment.faults) {
         if (fault.kind == "crashing_request") {
             for (double at_s = fault.at_s; at_s < fault.at_s + fault.for_s; at_s += fault.x)
-                m_todo.schedule(epoch + from_ms(at_s * 1000), [this] { start_crashing_request(); });
+                m_events.schedule(epoch + from_ms(at_s * 1000), [this] { start_crashing_request(); });
             continue;
         }
-        auto const struck = struck_by(fault, draw_seed++);
-        m_todo.schedule(epoch + from_ms(fault.at_s * 1000), [=, this, &fault] { apply_fault(fault, struck, true); });
-        m_todo.schedule(epoch + from_ms((fault.at_s + fault.for_s) * 1000),
-                        [=, this, &fault] { apply_fault(fault, struck, false); });
+        auto const affected = affected_by(fault, fault_seed++);
+        m_events.schedule(epoch + from_ms(fault.at_s * 1000),
+                          [=, this, &fault] { apply_fault(fault, affected, true); });
+        m_events.schedule(epoch + from_ms((fault.at_s + fault.for_s) * 1000),
+                          [=, this, &fault] { apply_fault(fault, affected, false); });
     }
 }
 
-std::vector<modelled_server*> model::struck_by(emulated_fault const& fault, std::uint64_t seed) const
+std::vector<modelled_server*> model::affected_by(emulated_fault const& fault, std::uint64_t seed) const
 {
-    std::vector<modelled_server*> order;
+    std::vector<modelled_server*> servers;
     for (std::size_t i = 0; i < m_servers.size(); ++i) {
         // Spread over the shards: a stride that is coprime to their number.
-        order.push_back(m_servers[(i * 7 + 3) % m_servers.size()].get());
+        servers.push_back(m_servers[(i * 7 + 3) % m_servers.size()].get());
     }
-    if (fault.scattered) std::shuffle(order.begin(), order.end(), std::mt19937_64(seed));
-    order.resize(static_cast<std::size_t>(fault.share * static_cast<double>(order.size())));
-    return order;
+    if (fault.scattered) std::shuffle(servers.begin(), servers.end(), std::mt19937_64(seed));
+    servers.resize(static_cast<std::size_t>(fault.share * static_cast<double>(servers.size())));
+    return servers;
 }
 
-void model::apply_fault(emulated_fault const& fault, std::vector<modelled_server*> const& struck, bool begins)
+void model::apply_fault(emulated_fault const& fault, std::vector<modelled_server*> const& affected, bool starts)
 {
     if (fault.kind == "burst") {
         for (auto& factor : m_rate_factor)
-            factor = begins ? fault.x : 1;
+            factor = starts ? fault.x : 1;
         return;
     }
     if (fault.kind == "restart") {
-        if (!begins) return;
+        if (!starts) return;
         for (auto& vm : m_vms)
-            boot(*vm);
+            start_gateway(*vm);
         return;
     }
-    for (auto* server : struck) {
-        if (fault.kind == "slow") server->slowdown *= begins ? fault.x : 1 / fault.x;
-        if (fault.kind == "dark") server->dark = begins;
-        if (fault.kind == "crash") server->crash(begins);
+    for (auto* server : affected) {
+        if (fault.kind == "slow") server->slowdown *= starts ? fault.x : 1 / fault.x;
+        if (fault.kind == "dark") server->unresponsive = starts;
+        if (fault.kind == "crash") server->set_crashed(starts);
     }
 }
 
 emulation_result model::run()
 {
-    plan_faults();
+    schedule_faults();
     for (std::size_t kind = 0; kind < m_deployment.kinds.size(); ++kind)
-        plan_arrival(kind);
-    constexpr double settle_s = 12; // Longer than any deadline: every request ends within the run.
-    m_todo.run_until(epoch + from_ms((m_deployment.seconds + settle_s) * 1000));
+        schedule_arrival(kind);
+    constexpr double extra_run_s = 12; // Longer than any deadline: every request ends within the run.
+    m_events.run_until(epoch + from_ms((m_deployment.seconds + extra_run_s) * 1000));
     for (std::size_t i = 0; i < m_earned.size(); ++i) {
         m_result.share_by_second.push_back(m_owed[i] > 0 ? m_earned[i] / m_owed[i] : 1);
     }
@@ -449,8 +453,8 @@
 
 emulation_result emulate(emulated_deployment const& deployment)
 {
-    model world(deployment);
-    return world.run();
+    model emulation(deployment);
+    return emulation.run();
 }
 
 } // namespace cornelspring
--- a/src/emulator/event_queue.hpp
+++ b/src/emulator/event_queue.hpp
@@ -17,13 +17,16 @@
 class event_queue {
 public:
     /** Adds @p task. @param when due time. @param task work. */
-    void schedule(time_point when, std::function<void()> task) { m_tasks.push({when, m_made++, std::move(task)}); }
+    void schedule(time_point when, std::function<void()> task)
+    {
+        m_pending.push({when, m_next_sequence++, std::move(task)});
+    }
     /** Runs everything until @p end. @param end last time. */
     void run_until(time_point end)
     {
-        while (!m_tasks.empty() && m_tasks.top().when <= end) {
-            auto next = std::move(const_cast<entry&>(m_tasks.top()));
-            m_tasks.pop();
+        while (!m_pending.empty() && m_pending.top().when <= end) {
+            auto next = std::move(const_cast<event&>(m_pending.top()));
+            m_pending.pop();
             m_now = next.when;
             next.task();
         }
@@ -34,16 +37,19 @@
 
 private:
     /** One thing. */
-    struct entry {
+    struct event {
         time_point when;            ///< Due time.
-        std::uint64_t made = 0;     ///< Order of making.
+        std::uint64_t sequence = 0; ///< Order of making.
         std::function<void()> task; ///< Work.
         /** Later entries sort first, for std::priority_queue. */
-        bool operator<(entry const& other) const { return std::tie(when, made) > std::tie(other.when, other.made); }
+        bool operator<(event const& other) const
+        {
+            return std::tie(when, sequence) > std::tie(other.when, other.sequence);
+        }
     };
-    std::priority_queue<entry> m_tasks; ///< What is to come.
-    std::uint64_t m_made = 0;           ///< Entries made.
-    time_point m_now = epoch;           ///< Present.
+    std::priority_queue<event> m_pending; ///< What is to come.
+    std::uint64_t m_next_sequence = 0;    ///< Entries made.
+    time_point m_now = epoch;             ///< Present.
 };
 
 } // namespace cornelspring
--- a/src/emulator/modelled_server.hpp
+++ b/src/emulator/modelled_server.hpp
@@ -14,102 +14,103 @@
 }
 
 /** An attempt at a modelled backend server. */
-struct job {
-    double work_ms = 0;                       ///< Work.
-    std::function<void(attempt_status)> done; ///< Receives the end.
-    bool cancelled = false;                   ///< Given up by the gateway.
-    std::function<void()> crashes;            ///< Set for work that crashes its server: told when it does.
+struct modelled_attempt {
+    double work_ms = 0;                           ///< Work.
+    std::function<void(attempt_status)> complete; ///< Receives the end.
+    bool cancelled = false;                       ///< Given up by the gateway.
+    std::function<void()> on_crash;               ///< Set for work that crashes its server: told when it does.
 };
 
 /** A backend server: slots, queue, pauses, faults. */
 class modelled_server {
 public:
-    modelled_server(event_queue& todo, emulated_deployment const& deployment, std::mt19937_64& random)
-        : m_todo(todo), m_deployment(deployment), m_random(random)
+    modelled_server(event_queue& events, emulated_deployment const& deployment, std::mt19937_64& random)
+        : m_events(events), m_deployment(deployment), m_random(random)
     {
-        plan_pause();
+        schedule_pause();
     }
     /** A request arrives. */
-    void arrive(std::shared_ptr<job> work)
+    void receive(std::shared_ptr<modelled_attempt> attempt)
     {
-        if (dark) return;
+        if (unresponsive) return;
         if (crashed) {
-            work->done(attempt_status::not_sent);
+            attempt->complete(attempt_status::not_sent);
             return;
         }
-        if (m_at_work.size() >= slots() && m_queue.size() >= static_cast<std::size_t>(m_deployment.queue)) {
-            work->done(attempt_status::not_executed);
+        if (m_running.size() >= slots() && m_queue.size() >= static_cast<std::size_t>(m_deployment.queue)) {
+            attempt->complete(attempt_status::not_executed);
             return;
         }
-        m_queue.push_back(std::move(work));
-        start_some();
+        m_queue.push_back(std::move(attempt));
+        start_queued();
     }
     /** It crashes or is back: what it had is lost. @param now_crashed whether it crashes. */
-    void crash(bool now_crashed)
+    void set_crashed(bool now_crashed)
     {
         crashed = now_crashed;
         if (!crashed) return;
         auto lost = std::exchange(m_queue, {});
-        lost.insert(lost.end(), m_at_work.begin(), m_at_work.end());
-        m_at_work.clear();
-        for (auto const& work : lost) {
-            if (!work->cancelled) work->done(attempt_status::disconnected);
+        lost.insert(lost.end(), m_running.begin(), m_running.end());
+        m_running.clear();
+        for (auto const& attempt : lost) {
+            if (!attempt->cancelled) attempt->complete(attempt_status::disconnected);
         }
     }
-    double slowdown = 1;  ///< Factor on the work.
-    bool dark = false;    ///< Neither answers nor works.
-    bool crashed = false; ///< Refuses connections.
+    double slowdown = 1;       ///< Factor on the work.
+    bool unresponsive = false; ///< Neither answers nor works.
+    bool crashed = false;      ///< Refuses connections.
 
 private:
-    void plan_pause()
+    void schedule_pause()
     {
         if (m_deployment.pause_every_s <= 0) return;
         std::exponential_distribution<double> gap(1.0 / m_deployment.pause_every_s);
-        m_todo.schedule(m_todo.now() + from_ms(gap(m_random) * 1000), [this] {
-            m_paused_until = m_todo.now() + from_ms(m_deployment.pause_ms);
-            m_todo.schedule(m_paused_until, [this] {
-                start_some();
-                plan_pause();
+        m_events.schedule(m_events.now() + from_ms(gap(m_random) * 1000), [this] {
+            m_paused_until = m_events.now() + from_ms(m_deployment.pause_ms);
+            m_events.schedule(m_paused_until, [this] {
+                start_queued();
+                schedule_pause();
             });
         });
     }
-    void start_some()
+    void start_queued()
     {
-        while (m_at_work.size() < slots() && !m_queue.empty() && m_todo.now() >= m_paused_until) {
-            auto work = std::move(m_queue.front());
+        while (m_running.size() < slots() && !m_queue.empty() && m_events.now() >= m_paused_until) {
+            auto attempt = std::move(m_queue.front());
             m_queue.pop_front();
-            if (work->cancelled) continue;
-            m_at_work.push_back(work);
-            m_todo.schedule(m_todo.now() + from_ms(work->work_ms * slowdown), [this, work] { finish(work); });
+            if (attempt->cancelled) continue;
+            m_running.push_back(attempt);
+            m_events.schedule(m_events.now() + from_ms(attempt->work_ms * slowdown),
+                              [this, attempt] { finish(attempt); });
         }
     }
-    void finish(std::shared_ptr<job> const& work)
+    void finish(std::shared_ptr<modelled_attempt> const& attempt)
     {
-        auto const found = std::find(m_at_work.begin(), m_at_work.end(), work);
-        if (found == m_at_work.end()) return; // The server has crashed meanwhile.
-        if (m_todo.now() < m_paused_until) {  // A pause holds up what runs, too.
-            m_todo.schedule(m_paused_until, [this, work] { finish(work); });
+        auto const found = std::find(m_running.begin(), m_running.end(), attempt);
+        if (found == m_running.end()) return;  // The server has crashed meanwhile.
+        if (m_events.now() < m_paused_until) { // A pause holds up what runs, too.
+            m_events.schedule(m_paused_until, [this, attempt] { finish(attempt); });
             return;
         }
-        if (work->crashes) {
-            work->crashes();
-            crash(true);
-            m_todo.schedule(m_todo.now() + from_ms(m_deployment.down_s * 1000), [this] { crash(false); });
+        if (attempt->on_crash) {
+            attempt->on_crash();
+            set_crashed(true);
+            m_events.schedule(m_events.now() + from_ms(m_deployment.down_s * 1000), [this] { set_crashed(false); });
             return;
         }
-        m_at_work.erase(found);
-        if (!work->cancelled && !dark) work->done(attempt_status::answered);
-        start_some();
+        m_running.erase(found);
+        if (!attempt->cancelled && !unresponsive) attempt->complete(attempt_status::answered);
+        start_queued();
     }
 
     std::size_t slots() const { return static_cast<std::size_t>(m_deployment.slots); }
 
-    event_queue& m_todo;                         ///< Time.
-    emulated_deployment const& m_deployment;     ///< Sizes.
-    std::mt19937_64& m_random;                   ///< Pauses.
-    std::deque<std::shared_ptr<job>> m_queue;    ///< Waiting.
-    std::vector<std::shared_ptr<job>> m_at_work; ///< At work, in order of their beginning.
-    time_point m_paused_until;                   ///< Pause.
+    event_queue& m_events;                                    ///< Time.
+    emulated_deployment const& m_deployment;                  ///< Sizes.
+    std::mt19937_64& m_random;                                ///< Pauses.
+    std::deque<std::shared_ptr<modelled_attempt>> m_queue;    ///< Waiting.
+    std::vector<std::shared_ptr<modelled_attempt>> m_running; ///< At work, in order of their beginning.
+    time_point m_paused_until;                                ///< Pause.
 };
 
 } // namespace cornelspring
--- a/src/load/load_run.cpp
+++ b/src/load/load_run.cpp
@@ -8,13 +8,13 @@
 namespace {
 
 /** Time a caller waits beyond its deadline before it counts the answer as lost. */
-constexpr milliseconds caller_patience{1000};
+constexpr milliseconds response_grace{1000};
 /** Timeout of scrapes, journals and faults. */
 constexpr milliseconds control_timeout{5000};
 /** The counters are first read this long before the warm-up ends, so that reading them delays no counted request. */
 constexpr double scrape_lead_s = 0.5;
 /** Shortest time an address list is kept. */
-constexpr std::chrono::seconds min_keep{1};
+constexpr std::chrono::seconds min_refresh_interval{1};
 
 /** @return a GET. */
 http_request get(char const* path)
@@ -43,16 +43,16 @@
 void load_run::refresh_addresses(time_point now)
 {
     if (now < m_refresh_at) return;
-    m_refresh_at = now + min_keep;
-    for (auto const& known : m_plan.entries) {
-        auto const reply = m_callers.call(known, get(paths::entries), control_timeout);
-        if (reply.outcome != send_outcome::answered || reply.response.status != 200) continue;
-        auto const list = parse_message<entry_list>(reply.response.body, "entry list");
+    m_refresh_at = now + min_refresh_interval;
+    for (auto const& entry : m_plan.entries) {
+        auto const result = m_entry_client.call(entry, get(paths::entries), control_timeout);
+        if (result.outcome != send_outcome::answered || result.response.status != 200) continue;
+        auto const list = parse_message<entry_list>(result.response.body, "entry list");
         if (list.addresses.empty()) continue;
         m_addresses.clear();
         for (auto const& address : list.addresses)
             m_addresses.push_back(parse_endpoint(address));
-        m_refresh_at = now + std::max(min_keep, std::chrono::seconds(list.ttl_s));
+        m_refresh_at = now + std::max(min_refresh_interval, std::chrono::seconds(list.ttl_s));
         return;
     }
     if (m_addresses.empty()) m_addresses = m_plan.entries;
@@ -62,11 +62,12 @@
 {
     while (m_next_fault < m_plan.faults.size() && m_plan.faults[m_next_fault].at_s <= now_s) {
         auto const& fault = m_plan.faults[m_next_fault++];
-        m_peers.submit(fault.target, json_post(paths::fault, fault.body.dump()), control_timeout, [](client_result) {});
+        m_stand_in_client.submit(fault.target, json_post(paths::fault, fault.body.dump()), control_timeout,
+                                 [](client_result) {});
     }
 }
 
-void load_run::note(request_sample sample, client_result const& result, time_point due, std::int64_t deadline_ms)
+void load_run::record(request_sample sample, client_result const& result, time_point due, std::int64_t deadline_ms)
 {
     auto const now = clock::now();
     sample.latency_ms = std::chrono::duration<double, std::milli>(now - due).count();
@@ -83,7 +84,7 @@
     }
     std::lock_guard lock(m_mutex);
     m_samples.push_back(std::move(sample));
-    --m_open;
+    --m_in_flight;
 }
 
 void load_run::send(arrival const& item, std::size_t number)
@@ -111,20 +112,20 @@
     auto const due = m_start + std::chrono::duration_cast<clock::duration>(std::chrono::duration<double>(item.at_s));
     {
         std::lock_guard lock(m_mutex);
-        ++m_open;
+        ++m_in_flight;
     }
     auto const& entry = m_addresses[m_random() % m_addresses.size()];
-    m_callers.submit(entry, std::move(request), milliseconds(group.deadline_ms) + caller_patience,
-                     [this, sample, due, deadline = group.deadline_ms](client_result result) {
-                         note(sample, result, due, deadline);
-                     });
+    m_entry_client.submit(entry, std::move(request), milliseconds(group.deadline_ms) + response_grace,
+                          [this, sample, due, deadline = group.deadline_ms](client_result result) {
+                              record(sample, result, due, deadline);
+                          });
 }
 
-std::vector<std::string> load_run::scrape()
+std::vector<std::string> load_run::scrape_metrics()
 {
     std::vector<std::string> texts;
     for (auto const& entry : m_addresses)
-        texts.push_back(m_callers.call(entry, get(paths::metrics), control_timeout).response.body);
+        texts.push_back(m_entry_client.call(entry, get(paths::metrics), control_timeout).response.body);
     return texts;
 }
 
@@ -132,8 +133,8 @@
 {
     std::map<std::string, int> runs;
     for (auto const& backend : m_plan.backends) {
-        auto const reply = m_peers.call(backend, get(paths::journal), control_timeout);
-        auto const body = nlohmann::json::parse(reply.response.body, nullptr, false);
+        auto const result = m_stand_in_client.call(backend, get(paths::journal), control_timeout);
+        auto const body = nlohmann::json::parse(result.response.body, nullptr, false);
         if (!body.is_object()) continue;
         for (auto const& entry : body.value("entries", nlohmann::json::array())) {
             if (entry.value("write", false) && entry.value("event", "") == "ran") ++runs[entry.value("id", "")];
@@ -147,15 +148,15 @@
     auto const arrivals = draw_arrivals();
     refresh_addresses(clock::now());
     backend_requests before;
-    bool warm = false;
+    bool warmed_up = false;
     m_start = clock::now();
     for (std::size_t i = 0; i < arrivals.size(); ++i) {
         auto const due =
             m_start + std::chrono::duration_cast<clock::duration>(std::chrono::duration<double>(arrivals[i].at_s));
         std::this_thread::sleep_until(due);
-        if (!warm && arrivals[i].at_s >= m_plan.warmup_s - scrape_lead_s) {
-            before = read_backend_requests(scrape());
-            warm = true;
+        if (!warmed_up && arrivals[i].at_s >= m_plan.warmup_s - scrape_lead_s) {
+            before = read_backend_requests(scrape_metrics());
+            warmed_up = true;
         }
         send_faults(arrivals[i].at_s);
         refresh_addresses(clock::now());
@@ -164,13 +165,13 @@
     while (true) { // ends: every request has a timeout
         std::this_thread::sleep_for(milliseconds(20));
         std::lock_guard lock(m_mutex);
-        if (m_open == 0) break;
+        if (m_in_flight == 0) break;
     }
-    auto sent = read_backend_requests(scrape());
+    auto sent = read_backend_requests(scrape_metrics());
     sent.first -= before.first;
     sent.retry -= before.retry;
     sent.hedge -= before.hedge;
-    return summarise(m_plan, m_samples, sent, read_journals());
+    return summarize_run(m_plan, m_samples, sent, read_journals());
 }
 
 } // namespace cornelspring
--- a/src/load/load_run.hpp
+++ b/src/load/load_run.hpp
@@ -34,27 +34,27 @@
     /** Sends one request. */
     void send(arrival const& item, std::size_t number);
     /** Notes the result of a request. */
-    void note(request_sample sample, client_result const& result, time_point due, std::int64_t deadline_ms);
+    void record(request_sample sample, client_result const& result, time_point due, std::int64_t deadline_ms);
     /** Sends the faults that are due. */
     void send_faults(double now_s);
     /** Asks an entry node which addresses to use, and keeps the answer for its time to keep. */
     void refresh_addresses(time_point now);
     /** @return the metrics of every entry node. */
-    std::vector<std::string> scrape();
+    std::vector<std::string> scrape_metrics();
     /** @return how often each idempotency key ran, from the back ends' journals. */
     std::map<std::string, int> read_journals();
 
     scenario m_plan;                       ///< What to run.
     std::mt19937_64 m_random;              ///< Arrivals, queries and entry choice.
-    http_client m_callers;                 ///< Towards entry nodes.
-    h2_client m_peers;                     ///< Towards stand-ins.
+    http_client m_entry_client;            ///< Towards entry nodes.
+    h2_client m_stand_in_client;           ///< Towards stand-ins.
     std::vector<endpoint> m_addresses;     ///< Entry addresses in use.
     time_point m_refresh_at;               ///< When they are asked for again.
     std::size_t m_next_fault = 0;          ///< Next of m_plan.faults.
     time_point m_start;                    ///< Start of the run.
     std::mutex m_mutex;                    ///< Guards the fields below.
     std::vector<request_sample> m_samples; ///< Finished requests.
-    std::size_t m_open = 0;                ///< Requests without a result.
+    std::size_t m_in_flight = 0;           ///< Requests without a result.
 };
 
 } // namespace cornelspring
--- a/src/load/results.cpp
+++ b/src/load/results.cpp
@@ -29,8 +29,8 @@
 /** @return whether @p sample counts as served: whole and in time. */
 bool is_served(request_sample const& sample) { return sample.outcome == "whole"; }
 
-/** @return the summary of the samples in @p part. */
-nlohmann::json part_json(std::vector<request_sample const*> const& part)
+/** @return the summary of the samples in @p samples. */
+nlohmann::json summary_json(std::vector<request_sample const*> const& samples)
 {
     std::map<std::string, int> outcomes;
     std::map<std::string, int> coverage;
@@ -38,7 +38,7 @@
     double coverage_sum = 0;
     int queries = 0;
     int served = 0;
-    for (auto const* sample : part) {
+    for (auto const* sample : samples) {
         ++outcomes[sample->outcome];
         latencies.push_back(sample->latency_ms);
         if (is_served(*sample)) ++served;
@@ -51,7 +51,7 @@
         ++coverage[bucket.str()];
     }
     nlohmann::json out = latency_json(std::move(latencies));
-    out["requests"] = part.size();
+    out["requests"] = samples.size();
     out["served"] = served;
     out["outcomes"] = outcomes;
     out["coverage_mean"] = queries == 0 ? 1.0 : coverage_sum / queries;
@@ -60,11 +60,11 @@
 }
 
 /** @return the group's requests and served requests of each second. */
-nlohmann::json timeline_json(std::vector<request_sample const*> const& part)
+nlohmann::json timeline_json(std::vector<request_sample const*> const& samples)
 {
     std::map<int, std::pair<int, int>> seconds;
     std::map<int, std::vector<double>> latencies;
-    for (auto const* sample : part) {
+    for (auto const* sample : samples) {
         int const second = static_cast<int>(sample->at_s);
         ++seconds[second].first;
         if (is_served(*sample)) ++seconds[second].second;
@@ -101,8 +101,8 @@
     return total;
 }
 
-nlohmann::json summarise(scenario const& plan, std::vector<request_sample> const& samples, backend_requests const& sent,
-                         std::map<std::string, int> const& runs)
+nlohmann::json summarize_run(scenario const& plan, std::vector<request_sample> const& samples,
+                             backend_requests const& sent, std::map<std::string, int> const& runs)
 {
     std::vector<request_sample const*> counted;
     std::vector<std::vector<request_sample const*>> by_group(plan.callers.size());
@@ -121,7 +121,7 @@
     nlohmann::json groups = nlohmann::json::array();
     for (std::size_t i = 0; i < by_group.size(); ++i) {
         auto const& group = plan.callers[i];
-        auto item = part_json(by_group[i]);
+        auto item = summary_json(by_group[i]);
         item["customer"] = group.customer;
         item["school"] = group.school;
         item["window"] = group.window;
@@ -136,7 +136,7 @@
             {"seed", plan.seed},
             {"duration_s", plan.duration_s},
             {"warmup_s", plan.warmup_s},
-            {"total", part_json(counted)},
+            {"total", summary_json(counted)},
             {"backend_requests",
              {{"first", sent.first}, {"retry", sent.retry}, {"hedge", sent.hedge}, {"extra_share", extra}}},
             {"writes", {{"ran_more_than_once", ran_twice}, {"answered_but_did_not_run", answered_not_ran}}},
--- a/src/load/results.hpp
+++ b/src/load/results.hpp
@@ -33,7 +33,7 @@
  * @param plan the scenario. @param samples every request. @param sent back-end requests of the run.
  * @param runs how often each idempotency key ran, from the back ends' journals.
  */
-nlohmann::json summarise(scenario const& plan, std::vector<request_sample> const& samples, backend_requests const& sent,
-                         std::map<std::string, int> const& runs);
+nlohmann::json summarize_run(scenario const& plan, std::vector<request_sample> const& samples,
+                             backend_requests const& sent, std::map<std::string, int> const& runs);
 
 } // namespace cornelspring
--- a/src/report/report.cpp
+++ b/src/report/report.cpp
@@ -15,7 +15,7 @@
 constexpr int plot_width = 640;
 constexpr int plot_height = 120;
 /** Burn rate at the top of a plot. */
-constexpr double plot_top_burn = 10;
+constexpr double plot_max_burn_rate = 10;
 /** Style of the page. */
 constexpr char const* page_style =
     "body{font-family:sans-serif;margin:2em;max-width:70em}table{border-collapse:collapse}"
@@ -47,32 +47,32 @@
 }
 
 /** @return the burn of @p group, read from its counts. */
-burn burn_of(nlohmann::json const& group)
+error_budget budget_of(nlohmann::json const& group)
 {
     return {group.at("requests").get<int>(), group.at("served").get<int>(), group.at("objective").get<double>()};
 }
 
-/** Adds @p part to @p sum; the objective becomes the strictest of both. */
-void add(burn& sum, burn const& part)
+/** Adds @p group to @p sum; the objective becomes the strictest of both. */
+void add(error_budget& sum, error_budget const& group)
 {
-    sum.objective = sum.requests == 0 ? part.objective : std::max(sum.objective, part.objective);
-    sum.requests += part.requests;
-    sum.served += part.served;
+    sum.objective = sum.requests == 0 ? group.objective : std::max(sum.objective, group.objective);
+    sum.requests += group.requests;
+    sum.served += group.served;
 }
 
 /** @return a table of burn by @p field of the groups. */
 std::string burn_table(nlohmann::json const& groups, std::string const& field)
 {
-    std::map<std::string, burn> rows;
+    std::map<std::string, error_budget> rows;
     for (auto const& group : groups)
-        add(rows[group.at(field).get<std::string>()], burn_of(group));
+        add(rows[group.at(field).get<std::string>()], budget_of(group));
     std::ostringstream out;
     out << "<h3>By " << escape(field) << "</h3><table><tr><th>" << escape(field)
         << "</th><th>requests</th><th>served</th><th>objective</th><th>not served</th><th>burn rate</th></tr>";
     for (auto const& [name, row] : rows) {
-        out << "<tr class='" << (row.rate() > 1 ? "bad" : "good") << "'><td>" << escape(name) << "</td><td>"
+        out << "<tr class='" << (row.burn_rate() > 1 ? "bad" : "good") << "'><td>" << escape(name) << "</td><td>"
             << row.requests << "</td><td>" << row.served << "</td><td>" << number(row.objective, 4) << "</td><td>"
-            << number(row.bad_share() * 100, 3) << " %</td><td>" << number(row.rate(), 2) << "</td></tr>";
+            << number(row.error_rate() * 100, 3) << " %</td><td>" << number(row.burn_rate(), 2) << "</td></tr>";
     }
     out << "</table>";
     return out.str();
@@ -85,18 +85,20 @@
     int last = 1;
     for (auto const& point : timeline)
         last = std::max(last, point.at("second").get<int>());
-    auto y_of = [](double rate) { return plot_height - plot_height * std::min(rate, plot_top_burn) / plot_top_burn; };
+    auto y_of = [](double burn_rate) {
+        return plot_height - plot_height * std::min(burn_rate, plot_max_burn_rate) / plot_max_burn_rate;
+    };
     std::ostringstream points;
     for (auto const& point : timeline) {
-        burn const second{point.at("requests").get<int>(), point.at("served").get<int>(),
-                          group.at("objective").get<double>()};
+        error_budget const second{point.at("requests").get<int>(), point.at("served").get<int>(),
+                                  group.at("objective").get<double>()};
         points << number(plot_width * point.at("second").get<double>() / last, 1) << ","
-               << number(y_of(second.rate()), 1) << " ";
+               << number(y_of(second.burn_rate()), 1) << " ";
     }
     std::ostringstream out;
     out << "<svg width='" << plot_width << "' height='" << plot_height << "' role='img'><line x1='0' x2='" << plot_width
         << "' y1='" << y_of(1) << "' y2='" << y_of(1) << "' stroke='#c33' stroke-dasharray='4'/><polyline fill='none' "
-        << "stroke='#246' points='" << points.str() << "'/></svg><p>Burn rate by second, 0 to " << plot_top_burn
+        << "stroke='#246' points='" << points.str() << "'/></svg><p>Burn rate by second, 0 to " << plot_max_burn_rate
         << "; the dashed line spends the budget exactly.</p>";
     return out.str();
 }
@@ -135,9 +137,12 @@
 
 } // namespace
 
-double burn::bad_share() const { return requests == 0 ? 0 : static_cast<double>(requests - served) / requests; }
+double error_budget::error_rate() const
+{
+    return requests == 0 ? 0 : static_cast<double>(requests - served) / requests;
+}
 
-double burn::rate() const { return bad_share() / (1 - objective); }
+double error_budget::burn_rate() const { return error_rate() / (1 - objective); }
 
 std::string render_report(std::vector<nlohmann::json> const& results)
 {
--- a/src/report/report.hpp
+++ b/src/report/report.hpp
@@ -9,14 +9,14 @@
 namespace cornelspring {
 
 /** Error-budget arithmetic of one caller group. */
-struct burn {
+struct error_budget {
     int requests = 0;        ///< Requests counted.
     int served = 0;          ///< Answered whole and in time.
     double objective = 0.99; ///< Share that must be served.
     /** @return share of requests not served. */
-    double bad_share() const;
+    double error_rate() const;
     /** @return bad share over the budget (1 - objective): 1 spends the budget exactly, above 1 breaks the objective. */
-    double rate() const;
+    double burn_rate() const;
 };
 
 /**
--- a/src/trace/main.cpp
+++ b/src/trace/main.cpp
@@ -31,7 +31,7 @@
         throw error(error_kind::not_found, "no record of request '" + id + "'.",
                     "Give the logs of all gateways; under load some good requests are left out ('left_out').");
     }
-    for (auto const& [cause, count] : summarize(records)) {
+    for (auto const& [cause, count] : count_by_cause(records)) {
         std::cout << count.requests << "\t" << cause << "\t(for example " << count.example_id << ")\n";
     }
     return 0;
--- a/src/trace/trace.cpp
+++ b/src/trace/trace.cpp
@@ -11,7 +11,7 @@
 using nlohmann::json;
 
 /** Seconds before a request's arrival from which events are shown. */
-constexpr double seconds_before = 5;
+constexpr double context_s = 5;
 
 /** @return the kind of the first failed attempt in a request's record, or "". */
 std::string first_failure(json const& request)
@@ -23,7 +23,7 @@
 }
 
 /** @return how attempts failed, in words. */
-std::string words_for(std::string const& failure)
+std::string describe_failure(std::string const& failure)
 {
     if (failure == "not_sent") return "backend servers could not be connected to";
     if (failure == "disconnected") return "backend servers closed connections without an answer";
@@ -34,7 +34,7 @@
 }
 
 /** @return whether an event belongs into the trace of a request. */
-bool concerns(log_record const& event, log_record const& request)
+bool is_relevant(log_record const& event, log_record const& request)
 {
     auto const kind = event.fields.value("event", "");
     // What became of a backend server is named by the gateways that watch the store, and learned by all.
@@ -83,7 +83,7 @@
     auto const failure = first_failure(request);
     if (reason == "answered" || reason == "whole") return {};
     if (reason == "partial")
-        return "partial: " + (failure.empty() ? "slow shards at the route's goal" : words_for(failure));
+        return "partial: " + (failure.empty() ? "slow shards at the route's goal" : describe_failure(failure));
     if (reason == "starting") return "refused: the gateway knew no configuration yet";
     if (reason == "no_route") return "refused: no route of the configuration in force matches";
     if (reason == "no_time") return "refused: the caller left too little time";
@@ -98,14 +98,14 @@
     if (reason == "on_trial") return "refused: the request is being tried at one backend server, after others crashed";
     if (reason == "crashed_servers") return "failed: backend servers crash under the request";
     if (reason == "caller_gone") return "caller left before the answer";
-    if (reason == "deadline") return "deadline: " + words_for(failure);
-    if (reason == "too_few_shards") return "too few shards: " + words_for(failure);
-    if (reason == "failed") return "failed: " + words_for(failure);
+    if (reason == "deadline") return "deadline: " + describe_failure(failure);
+    if (reason == "too_few_shards") return "too few shards: " + describe_failure(failure);
+    if (reason == "failed") return "failed: " + describe_failure(failure);
     if (reason == "stopping") return "cut short by the end of a planned stop";
     return "unknown";
 }
 
-std::map<std::string, cause_count> summarize(std::vector<log_record> const& records)
+std::map<std::string, cause_count> count_by_cause(std::vector<log_record> const& records)
 {
     std::map<std::string, cause_count> causes;
     for (auto const& record : records) {
@@ -130,8 +130,8 @@
         out << "request " << id << " at " << record.source << ": status " << record.fields.value("status", 0) << ", "
             << (cause.empty() ? "served" : cause) << "\n";
         for (auto const& event : records) {
-            bool const near = event.at_s >= arrived_s - seconds_before && event.at_s <= record.at_s;
-            if (near && concerns(event, record)) write_line(event, arrived_s, out);
+            bool const in_window = event.at_s >= arrived_s - context_s && event.at_s <= record.at_s;
+            if (in_window && is_relevant(event, record)) write_line(event, arrived_s, out);
         }
         write_line(record, arrived_s, out);
     }
--- a/src/trace/trace.hpp
+++ b/src/trace/trace.hpp
@@ -34,7 +34,7 @@
 };
 
 /** @return failed and partly answered requests by cause. @param records all records. */
-std::map<std::string, cause_count> summarize(std::vector<log_record> const& records);
+std::map<std::string, cause_count> count_by_cause(std::vector<log_record> const& records);
 
 /**
  * Writes what is known of one request: its record and cause, then what the same gateway believed and learned of the
--- a/tests/test_emulator.cpp
+++ b/tests/test_emulator.cpp
@@ -10,7 +10,7 @@
 /** @return seven VMs, 20 shards, the two kinds of query of Rechtshilfe at @p load times their rate. */
 emulated_deployment rechtshilfe(double load)
 {
-    emulated_deployment made;
+    emulated_deployment deployment;
     emulated_kind match;
     match.name = "match";
     match.per_second = 67.6 * load;
@@ -27,9 +27,9 @@
     check.deadline_ms = 1200;
     check.priority = 2;
     check.min_coverage = 0.75;
-    made.kinds = {match, check};
-    made.seconds = 15;
-    return made;
+    deployment.kinds = {match, check};
+    deployment.seconds = 15;
+    return deployment;
 }
 
 /** @return the value earned in the seconds from @p from to @p to. */
--- a/tests/test_load_tools.cpp
+++ b/tests/test_load_tools.cpp
@@ -83,7 +83,7 @@
     for (int i = 1; i <= 1000; ++i)
         samples.push_back(sample(2, i, 1.0, "whole"));
     samples.push_back(sample(3, 5000, 0.5, "partial"));
-    auto const results = summarise(plan, samples, {1000, 10, 20}, {});
+    auto const results = summarize_run(plan, samples, {1000, 10, 20}, {});
     CHECK(results["total"]["requests"] == 1001);
     CHECK(results["total"]["served"] == 1000);
     CHECK(results["total"]["p50_ms"] == doctest::Approx(501));
@@ -104,7 +104,7 @@
         write.key = key;
         samples.push_back(write);
     }
-    auto const results = summarise(plan, samples, {}, {{"once", 1}, {"twice", 2}});
+    auto const results = summarize_run(plan, samples, {}, {{"once", 1}, {"twice", 2}});
     CHECK(results["writes"]["ran_more_than_once"] == 1);
     CHECK(results["writes"]["answered_but_did_not_run"] == 1);
 }
@@ -128,9 +128,9 @@
         samples.push_back(sample(2, 10, 1.0, "whole"));
     samples.push_back(sample(3, 10, 0.5, "partial"));
     samples.push_back(sample(3, 10, 0.5, "partial"));
-    burn const spent{10, 8, 0.9};
-    CHECK(spent.rate() == doctest::Approx(2.0));
-    auto const page = render_report({summarise(plan, samples, {}, {})});
+    error_budget const spent{10, 8, 0.9};
+    CHECK(spent.burn_rate() == doctest::Approx(2.0));
+    auto const page = render_report({summarize_run(plan, samples, {}, {})});
     for (char const* part : {"Leeuwin", "catalogue", "&lt;Fremantle&gt;", "summer", "<svg", "2.00"}) {
         CAPTURE(part);
         CHECK(page.find(part) != std::string::npos);
--- a/tests/test_trace.cpp
+++ b/tests/test_trace.cpp
@@ -43,7 +43,7 @@
 
 TEST_CASE("trace: failed requests are counted by cause, none unknown")
 {
-    auto const causes = summarize(records());
+    auto const causes = count_by_cause(records());
     CHECK(causes.size() == 3);
     CHECK(causes.at("too few shards: backend servers could not be connected to").requests == 1);
     CHECK(causes.at("refused: queries queue at the backend servers (admission bound)").example_id == "r3");
