--- a/include/cornelspring/emulator.hpp
+++ b/include/cornelspring/emulator.hpp
@@ -1,6 +1,7 @@
 /**
- * @file emulator.hpp Deterministic model of a whole deployment in virtual time: it drives the gateway's own decisions
- * (dispatcher, replica choice, admission) with modelled callers, network and backend servers, without sockets.
+ * @file emulator.hpp Deterministic discrete-event simulation of a complete deployment. Callers, network and backend
+ * servers are modelled; the gateways run the production dispatcher, replica choice and admission code, without
+ * sockets.
  */
 #pragma once
 
@@ -10,93 +11,95 @@
 
 namespace cornelspring {
 
-/** One kind of request in an emulated deployment. */
+/** One kind of request in an emulated deployment; the members are named after their TOML keys. */
 struct emulated_kind {
-    std::string name;          ///< Name; also its path prefix.
-    double per_second = 10;    ///< Arrivals a second over all callers.
-    double work_ms = 10;       ///< Mean work of one shard.
-    double work_spread = 0.35; ///< Relative spread of the work.
-    double tail_share = 0.01;  ///< Share of the work that takes tail_factor times as long.
-    double tail_factor = 5;    ///< See tail_share.
-    int goal_ms = 250;         ///< Goal.
-    int deadline_ms = 2500;    ///< Callers' deadline.
-    int priority = 1;          ///< Rank; 0 is the highest.
-    double worth = 1;          ///< Value of an answer within its goal.
-    double late_worth = 0.1;   ///< Value of a later one, as a share of worth.
-    double min_coverage = 0.9; ///< Least share of the shards in a success.
-    int retries = 1;           ///< Times a caller tries again.
-    double repeat_share = 0;   ///< Share of the callers that repeat at once, whatever they are told,
-    int repeat_tries = 4;      ///< so many times.
+    std::string name;          ///< Name; also the path prefix of its requests.
+    double per_second = 10;    ///< Arrivals per second over all callers.
+    double work_ms = 10;       ///< Mean processing time of one shard's part of a request, in milliseconds.
+    double work_spread = 0.35; ///< Standard deviation of the processing time, relative to its mean.
+    double tail_share = 0.01;  ///< Share of the attempts that take tail_factor times as long.
+    double tail_factor = 5;    ///< Factor on the processing time of the attempts in tail_share.
+    int goal_ms = 250;         ///< Latency goal.
+    int deadline_ms = 2500;    ///< Deadline, from the first try.
+    int priority = 1;          ///< Priority; 0 is the highest.
+    double worth = 1;          ///< Value of a complete response within the latency goal.
+    double late_worth = 0.1;   ///< Value of a response after the goal, as a share of worth.
+    double min_coverage = 0.9; ///< Minimum coverage of a successful response.
+    int retries = 1;           ///< Maximum number of retries by a caller.
+    double repeat_share = 0;   ///< Share of the callers that retry immediately and ignore Retry-After.
+    int repeat_tries = 4;      ///< Maximum number of retries by the callers in repeat_share.
 };
 
-/** A time in which something is different. */
+/** A fault or load change that lasts for a given time. */
 struct emulated_fault {
-    double at_s = 0;     ///< Begin.
-    double for_s = 1;    ///< Length.
-    std::string kind;    ///< burst (x times the arrivals), slow (x times the work at share of the backend servers),
-                         ///< dark (share of the backend servers is silent), crash (a share is gone and refuses
-                         ///< connections), restart (all gateways forget everything), crashing_request (one that
-                         ///< crashes the servers that run it comes again each x seconds, at any gateway).
-    double x = 2;        ///< Strength.
-    double share = 0.15; ///< Part of the backend servers.
-    /** It strikes servers drawn at random, so that some shards lose all their replicas and most lose none; else it is
-     *  spread evenly over the shards. */
+    double at_s = 0;     ///< Start, in seconds after the start of the run.
+    double for_s = 1;    ///< Duration in seconds.
+    std::string kind;    ///< "burst": x times the arrival rate. "slow": x times the processing time at a share of the
+                         ///< backend servers. "dark": a share of them accepts requests and sends no response.
+                         ///< "crash": a share of them is down and refuses connections. "restart": all gateways
+                         ///< restart and lose their state. "crashing_request": a request that crashes each backend
+                         ///< server that runs it is sent every x seconds, each time to a random gateway.
+    double x = 2;        ///< Factor or interval; see kind.
+    double share = 0.15; ///< Share of the backend servers that are affected.
+    /** Affects randomly chosen backend servers, so that some shards lose all their replicas and most lose none.
+     *  Otherwise, the affected servers are spread evenly over the shards. */
     bool scattered = false;
 };
 
-/** An emulated deployment. */
+/** An emulated deployment; the members are named after their TOML keys. */
 struct emulated_deployment {
-    int vms = 7;                        ///< Gateway VMs, spread over the regions in turn.
-    int regions = 3;                    ///< Regions.
-    double region_ms = 12;              ///< One way between regions.
-    double local_ms = 0.3;              ///< One way within a region.
-    int shards = 20;                    ///< Shards.
-    int replicas = 2;                   ///< Backend servers of each shard, in regions in turn.
-    int slots = 2;                      ///< Requests a backend server works on at once.
-    int queue = 12;                     ///< Requests it queues; more are refused.
-    double pause_ms = 300;              ///< Length of a pause.
-    double pause_every_s = 7.5;         ///< Mean time between pauses; 0: none.
-    int max_connections = 26;           ///< Connections a backend server accepts.
-    double told_ms = 300;               ///< Time until all gateways know what one tells of crashing requests.
-    double down_s = 3;                  ///< Time until a server that a request has crashed is back.
-    double seconds = 20;                ///< Length of the run.
+    int vms = 7;                        ///< Number of VMs, each with one gateway; assigned to the regions round-robin.
+    int regions = 3;                    ///< Number of regions.
+    double region_ms = 12;              ///< One-way network delay between two regions.
+    double local_ms = 0.3;              ///< One-way network delay within a region.
+    int shards = 20;                    ///< Number of shards.
+    int replicas = 2;                   ///< Number of replicas of each shard, placed in consecutive regions.
+    int slots = 2;                      ///< Requests that a backend server runs concurrently.
+    int queue = 12;                     ///< Queue length of a backend server; it rejects requests beyond that.
+    double pause_ms = 300;              ///< Duration of a pause, in which a backend server makes no progress.
+    double pause_every_s = 7.5;         ///< Mean time between two pauses of a backend server; 0: no pauses.
+    int max_connections = 26;           ///< Maximum number of connections of a backend server.
+    double told_ms = 300;               ///< Time until a gateway's crash records reach all other gateways.
+    double down_s = 3;                  ///< Time until a backend server that a request crashed runs again.
+    double seconds = 20;                ///< Time in which requests arrive, in seconds.
     std::uint64_t seed = 1;             ///< Random seed.
-    std::vector<emulated_kind> kinds;   ///< Kinds of request.
+    std::vector<emulated_kind> kinds;   ///< Kinds of requests.
     std::vector<emulated_fault> faults; ///< Faults.
-    dispatcher_options options;         ///< Decisions under test.
+    dispatcher_options options;         ///< Settings of the gateways' dispatchers.
 };
 
-/** Outcome of one kind of request. */
+/** Outcome of the requests of one kind; the members are named after their JSON keys. */
 struct emulated_outcome {
-    std::string name;               ///< Kind.
-    int asked = 0;                  ///< Requests, without callers' repetitions.
-    int in_goal = 0;                ///< Answered within the goal, from the first try on.
-    int late = 0;                   ///< Answered later.
-    int refused = 0;                ///< Ended refused.
-    int failed = 0;                 ///< Ended otherwise.
-    double earned = 0;              ///< Value earned.
-    double owed = 0;                ///< Value of all answers in time and whole.
-    std::vector<double> latency_ms; ///< Of the answered ones, from the first try on.
+    std::string name;               ///< Name of the kind.
+    int asked = 0;                  ///< Requests, not counting callers' retries.
+    int in_goal = 0;                ///< Successful within the latency goal, measured from the first try.
+    int late = 0;                   ///< Successful after the latency goal.
+    int refused = 0;                ///< Last try rejected with status 503.
+    int failed = 0;                 ///< Last try failed in another way.
+    double earned = 0;              ///< Sum of the values of the responses.
+    double owed = 0;                ///< Value if every response had been complete and within the goal.
+    std::vector<double> latency_ms; ///< Latencies of the successful requests, from the first try.
 };
 
-/** Outcome of a run. */
+/** Outcome of a run; the members are named after their JSON keys. */
 struct emulation_result {
-    std::vector<emulated_outcome> kinds; ///< By kind.
-    std::vector<double> share_by_second; ///< Value earned of that owed, by second of arrival.
-    std::uint64_t attempts = 0;          ///< Attempts at backend servers.
-    std::uint64_t other_region = 0;      ///< Attempts that crossed regions.
-    std::uint64_t shed = 0;              ///< Attempts refused by backend servers.
-    int servers_crashed = 0;             ///< Backend servers that ended under a crashing request.
-    int crashing_repeats = 0;            ///< Repetitions of it that reached servers though it was to be known by then.
-    /** @return value earned as a share of that owed. */
+    std::vector<emulated_outcome> kinds; ///< Outcome by kind of request.
+    std::vector<double> share_by_second; ///< Earned share of the owed value, by second of arrival.
+    std::uint64_t attempts = 0;          ///< Attempts sent to backend servers.
+    std::uint64_t other_region = 0;      ///< Attempts sent to another region.
+    std::uint64_t shed = 0;              ///< Attempts rejected by backend servers because their queues were full.
+    int servers_crashed = 0;             ///< Crashes of backend servers that a crashing request caused.
+    int crashing_repeats = 0; ///< Crashing requests sent to backend servers after quarantine had to be in force.
+    /** @return the earned share of the owed value. */
     double earned_share() const;
 };
 
-/** Runs a deployment. @param deployment what to run. @return its outcome; the same for the same input. */
+/** Simulates a deployment. @param deployment deployment to run. @return outcome; equal for equal input. */
 emulation_result emulate(emulated_deployment const& deployment);
-/** @return a deployment read from TOML. @param toml_text text. @param source file name. @throw error bad_settings. */
+/** Parses a deployment. @param toml_text TOML text. @param source file name, for error messages. @return the
+ *  deployment. @throw error bad_settings. */
 emulated_deployment parse_deployment(std::string const& toml_text, std::string const& source);
-/** @return a result as JSON, with percentiles. @param result result. */
+/** @return @p result as JSON, with latency percentiles. @param result outcome of a run. */
 nlohmann::json to_json(emulation_result const& result);
 
 } // namespace cornelspring
--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -1,4 +1,4 @@
-/** @file main.cpp cornel-ctl: operators' command line for services, back ends and routes. */
+/** @file main.cpp cornel-ctl: operators' command-line tool for services, backend servers and routes. */
 #include <cornelspring/coordination.hpp>
 
 #include <iostream>
@@ -9,16 +9,16 @@
 /** Settings of cornel-ctl. */
 std::vector<setting_def> const ctl_settings = {
     {"store.address", setting_type::text, setting_value{std::string("127.0.0.1:2379")}, 0, 0,
-     "host:port of the platform store"},
+     "address of the platform store, as host:port"},
     {"store.timeout_ms", setting_type::integer, setting_value{std::int64_t{3000}}, 10, 60000,
-     "timeout of one store call, in milliseconds"},
+     "timeout of a request to the store, in milliseconds"},
     {"watch.max_events", setting_type::integer, setting_value{std::int64_t{0}}, 0, 1e9,
-     "watch stops after this many events (0: no limit)"},
+     "number of events after which 'watch' stops (0: no limit)"},
     {"watch.max_seconds", setting_type::integer, setting_value{std::int64_t{0}}, 0, 1e9,
-     "watch stops after this many seconds (0: no limit)"},
+     "time after which 'watch' stops, in seconds (0: no limit)"},
 };
 
-/** What the command line asks for. */
+/** Usage text of the commands. */
 constexpr char const* usage = "commands:\n"
                               "  apply FILE            create or update the resources in FILE (.toml or .json)\n"
                               "  get KIND NAME         print one resource with its revision\n"
@@ -27,7 +27,7 @@
                               "  watch [KIND]          print changes as JSON lines\n"
                               "KIND is service, backend or route.\n";
 
-/** @return the JSON printed for a stored resource. */
+/** @return the JSON to print for the stored resource @p kv. */
 nlohmann::json resource_json(key_value const& kv)
 {
     auto body = nlohmann::json::parse(kv.value, nullptr, false);
@@ -36,7 +36,7 @@
     return body;
 }
 
-/** @return argument @p index or throws naming what is missing. */
+/** @return argument @p index. @param what its name in the error message. @throw error bad_request if it is missing. */
 std::string const& argument(std::vector<std::string> const& args, std::size_t index, char const* what)
 {
     if (args.size() <= index) {
@@ -45,7 +45,7 @@
     return args[index];
 }
 
-/** Applies every resource of a file with compare-and-swap on its revision. */
+/** Applies all resources in the file at @p path, each by compare-and-swap on its revision. @return exit code. */
 int apply(store_client& store, std::string const& path)
 {
     auto const resources = parse_resource_file(read_file(path), path);
@@ -58,7 +58,7 @@
         std::string const label = to_string(item.kind) + "/" + item.name;
         if (!result.succeeded) {
             throw error(error_kind::conflict,
-                        label + " was changed by someone else (expected revision " + std::to_string(expected) + ").",
+                        label + " was changed by another client (expected revision " + std::to_string(expected) + ").",
                         "Run 'cornel-ctl get " + to_string(item.kind) + " " + item.name +
                             "', merge the change, and apply again.");
         }
@@ -67,7 +67,7 @@
     return 0;
 }
 
-/** Prints one resource. */
+/** Prints one resource. @return exit code. */
 int get(store_client& store, resource_kind kind, std::string const& name)
 {
     auto const [found, revision] = store.get(resource_key(kind, name));
@@ -79,7 +79,7 @@
     return 0;
 }
 
-/** Prints every resource of a kind. */
+/** Prints all resources of a kind. @return exit code. */
 int list(store_client& store, resource_kind kind)
 {
     auto const read = store.range_prefix(std::string(resource_prefix) + to_string(kind) + "/");
@@ -88,7 +88,7 @@
     return 0;
 }
 
-/** Deletes a resource, at a given revision when asked. */
+/** Deletes a resource. @param revision only at this revision; 0: at its current one. @return exit code. */
 int remove(store_client& store, resource_kind kind, std::string const& name, std::int64_t revision)
 {
     std::string const key = resource_key(kind, name);
@@ -106,13 +106,14 @@
     if (!store.txn(request).succeeded) {
         throw error(error_kind::conflict,
                     to_string(kind) + "/" + name + " is not at revision " + std::to_string(expected) + ".",
-                    "Get it again and delete at its current revision.");
+                    "Run 'cornel-ctl get' again and delete the resource at its current revision.");
     }
     std::cout << to_string(kind) << "/" << name << " deleted\n";
     return 0;
 }
 
-/** Prints changes as JSON lines until a limit is reached. */
+/** Prints changes of the keys under @p prefix as JSON lines, until a limit in @p config is reached. @return exit
+ *  code. */
 int watch(store_client& store, std::string const& prefix, settings const& config)
 {
     auto const max_events = config.integer("watch.max_events");
@@ -125,7 +126,8 @@
     while (clock::now() < until && (max_events == 0 || printed < max_events)) {
         auto const batch = store.watch_prefix(prefix, after, milliseconds(1000));
         if (batch.cluster != cluster) {
-            // What it lost has no event: whoever reads these lines must read everything again.
+            // The store was restored from an older copy. Changes that it lost produce no events, so the consumer of
+            // these lines must read all resources again.
             std::cout << nlohmann::json{{"type", "RESTORED"}, {"revision", batch.revision}}.dump() << std::endl;
             cluster = batch.cluster;
             after = batch.revision;
@@ -144,7 +146,7 @@
     return 0;
 }
 
-/** Runs one command. */
+/** Runs one command. @return exit code. */
 int run(settings const& config, std::vector<std::string> const& args)
 {
     std::string const& command = argument(args, 0, "command");
--- a/src/emulator/deployment_file.cpp
+++ b/src/emulator/deployment_file.cpp
@@ -1,4 +1,4 @@
-/** @file deployment_file.cpp Emulated deployments in TOML, and results as JSON. */
+/** @file deployment_file.cpp Parses emulated deployments from TOML and writes results as JSON. */
 #include <cornelspring/emulator.hpp>
 
 #include <algorithm>
@@ -8,15 +8,15 @@
 
 using nlohmann::json;
 
-/** A number in a table: where it goes and its range. */
+/** A numeric key of a table, with its target and range. */
 template <class T> struct number_field {
     char const* key;  ///< Key.
-    T* target;        ///< Where it goes.
-    double min_value; ///< Lowest value.
-    double max_value; ///< Highest value.
+    T* target;        ///< Variable that receives the value.
+    double min_value; ///< Minimum.
+    double max_value; ///< Maximum.
 };
 
-/** Reads numbers of @p table; marks the keys as known. @throw error bad_settings. */
+/** Reads the numbers in @p fields from @p table and adds their keys to @p known. @throw error bad_settings. */
 template <class T>
 void read_numbers(json const& table, std::vector<number_field<T>> const& fields, std::set<std::string>& known)
 {
@@ -26,7 +26,8 @@
         auto const& value = table[field.key];
         if (!value.is_number() || value.template get<double>() < field.min_value ||
             value.template get<double>() > field.max_value) {
-            throw error(error_kind::bad_settings, std::string("'") + field.key + "' is not a number within its range.",
+            throw error(error_kind::bad_settings,
+                        std::string("'") + field.key + "' is not a number in the allowed range.",
                         "Use a number from " + std::to_string(field.min_value) + " to " +
                             std::to_string(field.max_value) + ".");
         }
@@ -34,7 +35,7 @@
     }
 }
 
-/** Refuses keys that nothing reads. */
+/** Rejects keys of @p table that are not in @p known. @throw error bad_settings. */
 void reject_unknown_keys(json const& table, std::set<std::string> const& known, std::string const& where)
 {
     for (auto const& [key, value] : table.items()) {
@@ -44,7 +45,7 @@
     }
 }
 
-/** @return one kind of request. */
+/** @return a kind of request, from its [[kind]] table. */
 emulated_kind parse_kind(json const& table)
 {
     emulated_kind kind;
@@ -72,7 +73,7 @@
     return kind;
 }
 
-/** @return one fault. */
+/** @return a fault, from its [[fault]] table. */
 emulated_fault parse_fault(json const& table)
 {
     emulated_fault fault;
@@ -132,7 +133,7 @@
     for (auto const& fault : table.value("fault", json::array()))
         deployment.faults.push_back(parse_fault(fault));
     if (deployment.kinds.empty()) {
-        throw error(error_kind::bad_settings, source + " names no kind of request.", "Add at least one [[kind]].");
+        throw error(error_kind::bad_settings, source + " defines no kind of request.", "Add at least one [[kind]].");
     }
     return deployment;
 }
--- a/src/emulator/emulator.cpp
+++ b/src/emulator/emulator.cpp
@@ -1,4 +1,4 @@
-/** @file emulator.cpp The model: callers, gateways, network and backend servers in virtual time. */
+/** @file emulator.cpp Simulation of callers, gateways, network and backend servers in virtual time. */
 #include "modelled_server.hpp"
 
 #include <algorithm>
@@ -7,50 +7,49 @@
 namespace cornelspring {
 namespace {
 
-/** @return seconds since the begin. */
+/** @return seconds from the start of virtual time to @p now. */
 double seconds_since_start(time_point now) { return std::chrono::duration<double>(now - epoch).count(); }
 
-/** A caller's request, over its tries. */
+/** A caller's request, with all its tries: the first one and the caller's retries. */
 struct caller_request {
-    std::size_t kind = 0;        ///< Kind.
-    time_point started_at;       ///< First try.
-    int tries = 0;               ///< Tries begun.
-    std::size_t region = 0;      ///< Caller's region.
-    time_point try_started_at;   ///< Present try.
-    bool rejected_early = false; ///< Its first try was refused at once.
-    bool repeats = false;        ///< It repeats at once, whatever it is told.
-    std::uint64_t number = 0;    ///< Tells it from others, in its path.
+    std::size_t kind = 0;        ///< Index of its kind.
+    time_point started_at;       ///< Start of the first try.
+    int tries = 0;               ///< Number of tries started.
+    std::size_t region = 0;      ///< Region of the caller.
+    time_point try_started_at;   ///< Start of the current try.
+    bool rejected_early = false; ///< First try was rejected early in the latency goal.
+    bool repeats = false;        ///< Caller retries immediately and ignores Retry-After.
+    std::uint64_t number = 0;    ///< Unique number, part of the path.
 };
 
-/** Path of a crashing request, behind its kind. */
+/** Last path element and request id of a crashing request. */
 constexpr char const* crashing_path = "crashing";
-/** A crashing request is known to all gateways so long after it has crashed the third server. */
+/** Time after crash number crashes_until_known by which all gateways must reject the crashing request. */
 constexpr double known_after_s = 5;
-/** Crashes from which on it has to be known. */
+/** Number of crashes after which gateways must be able to identify the crashing request. */
 constexpr int crashes_until_known = 3;
 
-/** The whole model. */
+/** The simulation of one deployment. */
 class model {
 public:
     explicit model(emulated_deployment const& deployment);
     emulation_result run();
 
 private:
-    /** A gateway: its own view and decisions. */
+    /** A gateway with its own local state and dispatcher. */
     struct gateway_vm {
         std::string name;                                                     ///< Name.
         std::size_t region = 0;                                               ///< Region.
         config_holder configs;                                                ///< Configuration.
         std::unique_ptr<backend_registry> registry;                           ///< Backend servers.
-        placement_rules placement;                                            ///< Which of them a request may reach.
+        placement_rules placement;                                            ///< Placement rules.
         request_quarantine quarantine;                                        ///< Requests that crash backend servers.
-        std::unique_ptr<dispatcher> request_dispatcher;                       ///< Decisions.
-        std::unordered_map<std::uint64_t, caller_request> requests_in_flight; ///< Callers by request key.
-        std::unordered_map<std::uint64_t, std::shared_ptr<modelled_attempt>>
-            attempts_in_flight;                 ///< Attempts under way.
-        std::uint64_t last_key = 0;             ///< Last request key.
-        time_point wake_at = time_point::max(); ///< When its dispatcher is woken.
-        std::uint64_t incarnation = 0;          ///< Counts restarts.
+        std::unique_ptr<dispatcher> request_dispatcher;                       ///< Dispatcher under test.
+        std::unordered_map<std::uint64_t, caller_request> requests_in_flight; ///< Callers' requests by request key.
+        std::unordered_map<std::uint64_t, std::shared_ptr<modelled_attempt>> attempts_in_flight; ///< Attempts by id.
+        std::uint64_t last_key = 0;                                                              ///< Last request key.
+        time_point wake_at = time_point::max(); ///< Due time of the dispatcher's timer.
+        std::uint64_t incarnation = 0;          ///< Number of starts; discards results from before a restart.
     };
 
     domain_name domain(std::size_t region) const { return domain_name("d" + std::to_string(region)); }
@@ -69,31 +68,32 @@
         return from == to ? m_deployment.local_ms : m_deployment.region_ms;
     }
     void schedule_faults();
-    /** A request that crashes the servers that run it comes to some gateway. */
+    /** Sends a request that crashes the backend servers that run it to a random gateway. */
     void start_crashing_request();
-    /** A server has ended under it. */
+    /** Counts a backend server that the crashing request has crashed. */
     void on_server_crash();
-    /** A gateway tells the others what it has seen of crashing requests. */
+    /** Sends the crash records of @p vm to all other gateways, with the configured delay. */
     void publish_crash_records(gateway_vm& vm);
-    /** @return the backend servers that a fault strikes. */
+    /** @return the backend servers that @p fault affects. @param seed seed of their random choice. */
     std::vector<modelled_server*> affected_by(emulated_fault const& fault, std::uint64_t seed) const;
-    /** Begins or ends a fault. */
+    /** Starts or ends a fault. @param affected backend servers. @param starts whether it starts. */
     void apply_fault(emulated_fault const& fault, std::vector<modelled_server*> const& affected, bool starts);
 
-    emulated_deployment m_deployment;                        ///< Input.
-    event_queue m_events;                                    ///< Time.
-    std::mt19937_64 m_random;                                ///< All draws.
+    emulated_deployment m_deployment;                        ///< Deployment to simulate.
+    event_queue m_events;                                    ///< Event queue with the virtual clock.
+    std::mt19937_64 m_random;                                ///< Random numbers, except those of faults.
     std::vector<std::unique_ptr<modelled_server>> m_servers; ///< Backend servers.
-    std::map<std::string, std::size_t> m_server_index;       ///< By id.
+    std::map<std::string, std::size_t> m_server_index;       ///< Index in m_servers by backend id.
     std::vector<std::unique_ptr<gateway_vm>> m_vms;          ///< Gateways.
-    std::vector<double> m_rate_factor;                       ///< By kind: present factor on arrivals.
-    std::mt19937_64 m_crashing_random{1};                    ///< Where crashing requests come, apart from all else.
-    std::map<std::string, std::vector<crash_record>> m_published_records; ///< What gateways have told of them, by name.
-    std::uint64_t m_last_request_number = 0;                              ///< Last number of a caller's request.
-    time_point m_known_from = time_point::max();                          ///< From then on it has to be known.
-    emulation_result m_result;                                            ///< Output.
-    std::vector<double> m_earned;                                         ///< By second.
-    std::vector<double> m_owed;                                           ///< By second.
+    std::vector<double> m_rate_factor;                       ///< Current factor on the arrival rate, by kind.
+    std::mt19937_64 m_crashing_random{
+        1}; ///< Choice of gateways for crashing requests; its own generator keeps m_random unchanged.
+    std::map<std::string, std::vector<crash_record>> m_published_records; ///< Last published crash records by gateway.
+    std::uint64_t m_last_request_number = 0;                              ///< Number of the last caller's request.
+    time_point m_known_from = time_point::max(); ///< Time from which the crashing request must be rejected.
+    emulation_result m_result;                   ///< Result of the run.
+    std::vector<double> m_earned;                ///< Earned value by second of arrival.
+    std::vector<double> m_owed;                  ///< Owed value by second of arrival.
 };
 
 model::model(emulated_deployment const& deployment) : m_deployment(deployment), m_random(deployment.seed)
@@ -333,7 +333,7 @@
     }
 }
 
-/** A caller whose try failed begins another when it may, after the time it was told. */
+/** Schedules the caller's next try after the response's Retry-After, or records the outcome if none is left. */
 void model::retry_or_finish(caller_request const& request, http_response const& response)
 {
     auto const& kind = m_deployment.kinds[request.kind];
@@ -344,7 +344,8 @@
     }
     auto next_try = request;
     auto const refused_after = m_events.now() - request.started_at;
-    // A caller that learns soon to come back later counts the time from then on, at part of the value.
+    // A caller whose first try is rejected early, and whose last try meets the goal, gets part of the full value.
+    // This share of the goal is the limit for an early rejection.
     constexpr double early_share = 0.25;
     if (request.tries == 1 && response.status == 503)
         next_try.rejected_early = refused_after <= from_ms(early_share * kind.goal_ms);
@@ -377,8 +378,8 @@
 
 void model::schedule_faults()
 {
-    auto fault_seed =
-        m_deployment.seed * 1000; // Drawn apart from all else, so that a fault more changes no other draw.
+    auto fault_seed = m_deployment.seed *
+                      1000; // Independent of m_random, so that an additional fault changes no other random choice.
     for (auto const& fault : m_deployment.faults) {
         if (fault.kind == "crashing_request") {
             for (double at_s = fault.at_s; at_s < fault.at_s + fault.for_s; at_s += fault.x)
@@ -397,7 +398,7 @@
 {
     std::vector<modelled_server*> servers;
     for (std::size_t i = 0; i < m_servers.size(); ++i) {
-        // Spread over the shards: a stride that is coprime to their number.
+        // A stride that is coprime to the number of servers spreads the affected ones over the shards.
         servers.push_back(m_servers[(i * 7 + 3) % m_servers.size()].get());
     }
     if (fault.scattered) std::shuffle(servers.begin(), servers.end(), std::mt19937_64(seed));
@@ -430,7 +431,7 @@
     schedule_faults();
     for (std::size_t kind = 0; kind < m_deployment.kinds.size(); ++kind)
         schedule_arrival(kind);
-    constexpr double extra_run_s = 12; // Longer than any deadline: every request ends within the run.
+    constexpr double extra_run_s = 12; // Longer than any deadline, so that every request finishes within the run.
     m_events.run_until(epoch + from_ms((m_deployment.seconds + extra_run_s) * 1000));
     for (std::size_t i = 0; i < m_earned.size(); ++i) {
         m_result.share_by_second.push_back(m_owed[i] > 0 ? m_earned[i] / m_owed[i] : 1);
--- a/src/emulator/event_queue.hpp
+++ b/src/emulator/event_queue.hpp
@@ -1,4 +1,4 @@
-/** @file event_queue.hpp Virtual time: what is to happen, in its order (internal). */
+/** @file event_queue.hpp Event queue of the simulation, with its virtual clock (internal). */
 #pragma once
 
 #include <cornelspring/base.hpp>
@@ -10,18 +10,18 @@
 
 namespace cornelspring {
 
-/** Virtual time begins here, so that no time point is near the clock's zero, which means "never". */
+/** Start of virtual time. It is far from the clock's zero because a zero time point means "never". */
 inline constexpr time_point epoch{std::chrono::hours(1)};
 
-/** Things that happen later, in order of time, then of their making. */
+/** Future events, run in order of due time; events due at the same time run in the order they were scheduled. */
 class event_queue {
 public:
-    /** Adds @p task. @param when due time. @param task work. */
+    /** Schedules an event. @param when due time. @param task function to run. */
     void schedule(time_point when, std::function<void()> task)
     {
         m_pending.push({when, m_next_sequence++, std::move(task)});
     }
-    /** Runs everything until @p end. @param end last time. */
+    /** Runs all events due until @p end and sets the clock to it. @param end last due time. */
     void run_until(time_point end)
     {
         while (!m_pending.empty() && m_pending.top().when <= end) {
@@ -32,24 +32,24 @@
         }
         m_now = std::max(m_now, end);
     }
-    /** @return present virtual time. */
+    /** @return the current virtual time. */
     time_point now() const { return m_now; }
 
 private:
-    /** One thing. */
+    /** A scheduled event. */
     struct event {
         time_point when;            ///< Due time.
-        std::uint64_t sequence = 0; ///< Order of making.
-        std::function<void()> task; ///< Work.
-        /** Later entries sort first, for std::priority_queue. */
+        std::uint64_t sequence = 0; ///< Position in the order of scheduling.
+        std::function<void()> task; ///< Function to run.
+        /** Inverted order: std::priority_queue returns its greatest element first. */
         bool operator<(event const& other) const
         {
             return std::tie(when, sequence) > std::tie(other.when, other.sequence);
         }
     };
-    std::priority_queue<event> m_pending; ///< What is to come.
-    std::uint64_t m_next_sequence = 0;    ///< Entries made.
-    time_point m_now = epoch;             ///< Present.
+    std::priority_queue<event> m_pending; ///< Events not yet run.
+    std::uint64_t m_next_sequence = 0;    ///< Sequence number of the next event.
+    time_point m_now = epoch;             ///< Current virtual time.
 };
 
 } // namespace cornelspring
--- a/src/emulator/modelled_server.hpp
+++ b/src/emulator/modelled_server.hpp
@@ -1,4 +1,5 @@
-/** @file modelled_server.hpp A backend server of the emulator: slots, queue, pauses, faults (internal). */
+/** @file modelled_server.hpp Backend server of the emulator, with slots, a bounded queue, pauses and faults (internal).
+ */
 #pragma once
 
 #include "event_queue.hpp"
@@ -7,21 +8,21 @@
 
 namespace cornelspring {
 
-/** @return @p ms as a duration of the clock. */
+/** @return @p ms milliseconds as a clock duration. */
 inline clock::duration from_ms(double ms)
 {
     return std::chrono::duration_cast<clock::duration>(std::chrono::duration<double, std::milli>(ms));
 }
 
-/** An attempt at a modelled backend server. */
+/** An attempt sent to a modelled backend server. */
 struct modelled_attempt {
-    double work_ms = 0;                           ///< Work.
-    std::function<void(attempt_status)> complete; ///< Receives the end.
-    bool cancelled = false;                       ///< Given up by the gateway.
-    std::function<void()> on_crash;               ///< Set for work that crashes its server: told when it does.
+    double work_ms = 0;                           ///< Processing time.
+    std::function<void(attempt_status)> complete; ///< Called with the outcome.
+    bool cancelled = false;                       ///< Cancelled by the gateway.
+    std::function<void()> on_crash;               ///< Set if the request crashes the server; called when it does.
 };
 
-/** A backend server: slots, queue, pauses, faults. */
+/** A backend server with slots, a bounded queue, pauses and faults. */
 class modelled_server {
 public:
     modelled_server(event_queue& events, emulated_deployment const& deployment, std::mt19937_64& random)
@@ -29,7 +30,7 @@
     {
         schedule_pause();
     }
-    /** A request arrives. */
+    /** Handles the arrival of @p attempt: starts, queues or rejects it. */
     void receive(std::shared_ptr<modelled_attempt> attempt)
     {
         if (unresponsive) return;
@@ -44,7 +45,8 @@
         m_queue.push_back(std::move(attempt));
         start_queued();
     }
-    /** It crashes or is back: what it had is lost. @param now_crashed whether it crashes. */
+    /** Crashes or restarts the server. A crash disconnects all attempts that it holds. @param now_crashed whether it
+     *  crashes. */
     void set_crashed(bool now_crashed)
     {
         crashed = now_crashed;
@@ -56,9 +58,9 @@
             if (!attempt->cancelled) attempt->complete(attempt_status::disconnected);
         }
     }
-    double slowdown = 1;       ///< Factor on the work.
-    bool unresponsive = false; ///< Neither answers nor works.
-    bool crashed = false;      ///< Refuses connections.
+    double slowdown = 1;       ///< Factor on the processing time.
+    bool unresponsive = false; ///< Drops new attempts and sends no responses.
+    bool crashed = false;      ///< Down: refuses connections.
 
 private:
     void schedule_pause()
@@ -87,8 +89,8 @@
     void finish(std::shared_ptr<modelled_attempt> const& attempt)
     {
         auto const found = std::find(m_running.begin(), m_running.end(), attempt);
-        if (found == m_running.end()) return;  // The server has crashed meanwhile.
-        if (m_events.now() < m_paused_until) { // A pause holds up what runs, too.
+        if (found == m_running.end()) return;  // The server crashed in the meantime.
+        if (m_events.now() < m_paused_until) { // A pause also delays running attempts.
             m_events.schedule(m_paused_until, [this, attempt] { finish(attempt); });
             return;
         }
@@ -105,12 +107,12 @@
 
     std::size_t slots() const { return static_cast<std::size_t>(m_deployment.slots); }
 
-    event_queue& m_events;                                    ///< Time.
-    emulated_deployment const& m_deployment;                  ///< Sizes.
-    std::mt19937_64& m_random;                                ///< Pauses.
-    std::deque<std::shared_ptr<modelled_attempt>> m_queue;    ///< Waiting.
-    std::vector<std::shared_ptr<modelled_attempt>> m_running; ///< At work, in order of their beginning.
-    time_point m_paused_until;                                ///< Pause.
+    event_queue& m_events;                                    ///< Event queue with the virtual clock.
+    emulated_deployment const& m_deployment;                  ///< Numbers of slots, queue length, pauses.
+    std::mt19937_64& m_random;                                ///< Random numbers for the pauses.
+    std::deque<std::shared_ptr<modelled_attempt>> m_queue;    ///< Queued attempts.
+    std::vector<std::shared_ptr<modelled_attempt>> m_running; ///< Running attempts, in order of their start.
+    time_point m_paused_until;                                ///< End of the current or last pause.
 };
 
 } // namespace cornelspring
--- a/src/load/load_run.cpp
+++ b/src/load/load_run.cpp
@@ -1,4 +1,4 @@
-/** @file load_run.cpp The open loop of a load run. */
+/** @file load_run.cpp Open loop of a load run. */
 #include "load_run.hpp"
 
 #include <algorithm>
@@ -7,16 +7,16 @@
 namespace cornelspring {
 namespace {
 
-/** Time a caller waits beyond its deadline before it counts the answer as lost. */
+/** Time after its deadline at which a request without a response counts as lost. */
 constexpr milliseconds response_grace{1000};
-/** Timeout of scrapes, journals and faults. */
+/** Timeout of requests for metrics, journals and address lists, and of requests that set faults. */
 constexpr milliseconds control_timeout{5000};
-/** The counters are first read this long before the warm-up ends, so that reading them delays no counted request. */
+/** Counters are first read this long before the warm-up ends, so that the read does not delay a counted request. */
 constexpr double scrape_lead_s = 0.5;
-/** Shortest time an address list is kept. */
+/** Minimum time between two refreshes of the address list. */
 constexpr std::chrono::seconds min_refresh_interval{1};
 
-/** @return a GET. */
+/** @return a GET request for @p path. */
 http_request get(char const* path)
 {
     http_request request;
@@ -162,7 +162,7 @@
         refresh_addresses(clock::now());
         send(arrivals[i], i);
     }
-    while (true) { // ends: every request has a timeout
+    while (true) { // Terminates because every request has a timeout.
         std::this_thread::sleep_for(milliseconds(20));
         std::lock_guard lock(m_mutex);
         if (m_in_flight == 0) break;
--- a/src/load/main.cpp
+++ b/src/load/main.cpp
@@ -1,4 +1,5 @@
-/** @file main.cpp cornel-load: sends a scenario's requests in an open loop and writes what came of them as JSON. */
+/** @file main.cpp cornel-load: sends a scenario's requests in an open loop, or runs an emulated deployment, and writes
+ * the results as JSON. */
 #include "load_run.hpp"
 
 #include <cornelspring/emulator.hpp>
@@ -10,10 +11,10 @@
 
 /** Settings of cornel-load. */
 std::vector<setting_def> const load_settings_table = {
-    {"results", setting_type::text, setting_value{std::string("results.json")}, 0, 0, "file that receives the results"},
+    {"results", setting_type::text, setting_value{std::string("results.json")}, 0, 0, "file to write the results to"},
 };
 
-/** Runs an emulated deployment. */
+/** Runs the emulated deployment in the file at @p path and writes its results. @return exit code. */
 int run_emulation(settings const& config, std::string const& path)
 {
     auto const result = emulate(parse_deployment(read_file(path), path));
@@ -28,7 +29,7 @@
     return 0;
 }
 
-/** Runs one scenario. */
+/** Runs one scenario or emulated deployment. @return exit code. */
 int run(settings const& config, std::vector<std::string> const& args)
 {
     if (args.size() == 2 && args.front() == "emulate") return run_emulation(config, args.back());
--- a/src/load/results.cpp
+++ b/src/load/results.cpp
@@ -1,4 +1,4 @@
-/** @file results.cpp Percentiles and counts of a load run. Every sample is kept, so percentiles are exact. */
+/** @file results.cpp Percentiles and counts of a load run. All samples are kept, so that percentiles are exact. */
 #include "results.hpp"
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 namespace cornelspring {
 namespace {
 
-/** @return the @p quantile of sorted @p values, or 0 when there are none (nearest rank). */
+/** @return the @p quantile of the sorted @p values by nearest rank, or 0 if there are none. */
 double percentile(std::vector<double> const& values, double quantile)
 {
     if (values.empty()) return 0;
@@ -16,7 +16,7 @@
     return values[std::min(values.size(), std::max<std::size_t>(1, rank)) - 1];
 }
 
-/** @return p50, p99, p99.9 and the greatest of @p values. */
+/** @return p50, p99, p99.9 and maximum of @p values. */
 nlohmann::json latency_json(std::vector<double> values)
 {
     std::sort(values.begin(), values.end());
@@ -26,10 +26,10 @@
             {"max_ms", values.empty() ? 0 : values.back()}};
 }
 
-/** @return whether @p sample counts as served: whole and in time. */
+/** @return whether @p sample counts as served: full coverage and within the deadline. */
 bool is_served(request_sample const& sample) { return sample.outcome == "whole"; }
 
-/** @return the summary of the samples in @p samples. */
+/** @return counts, latencies and coverage of @p samples. */
 nlohmann::json summary_json(std::vector<request_sample const*> const& samples)
 {
     std::map<std::string, int> outcomes;
@@ -59,7 +59,7 @@
     return out;
 }
 
-/** @return the group's requests and served requests of each second. */
+/** @return requests, served requests and p99 latency of @p samples for each second. */
 nlohmann::json timeline_json(std::vector<request_sample const*> const& samples)
 {
     std::map<int, std::pair<int, int>> seconds;
--- a/src/load/scenario.cpp
+++ b/src/load/scenario.cpp
@@ -1,4 +1,4 @@
-/** @file scenario.cpp Reading and checking a load scenario. */
+/** @file scenario.cpp Parses and validates load scenarios. */
 #include "scenario.hpp"
 
 #include <algorithm>
@@ -14,7 +14,7 @@
                 "Correct '" + key + "'; docs/operators/load.md lists the keys of a scenario.");
 }
 
-/** Refuses keys of @p table that are not in @p allowed. */
+/** Rejects keys of @p table that are not in @p allowed. */
 void reject_unknown_keys(nlohmann::json const& table, std::set<std::string> const& allowed, std::string const& source)
 {
     for (auto const& [key, value] : table.items()) {
@@ -22,7 +22,7 @@
     }
 }
 
-/** @return @p key of @p table as T, or @p fallback. */
+/** @return the value of @p key in @p table as T, or @p fallback if the key is missing. */
 template <class T> T read(nlohmann::json const& table, std::string const& key, T fallback, std::string const& source)
 {
     if (!table.contains(key)) return fallback;
@@ -33,7 +33,7 @@
     }
 }
 
-/** @return a loopback address. Load and faults never leave this host. */
+/** @return the address in @p text. Only loopback is allowed, so that load and faults stay on this host. */
 endpoint loopback_endpoint(std::string const& text, std::string const& source)
 {
     auto const address = parse_endpoint(text);
@@ -42,7 +42,7 @@
     return address;
 }
 
-/** @return the addresses listed at @p key. */
+/** @return the addresses in the list at @p key of @p table. */
 std::vector<endpoint> endpoints(nlohmann::json const& table, std::string const& key, std::string const& source)
 {
     std::vector<endpoint> out;
--- a/src/load/scenario.hpp
+++ b/src/load/scenario.hpp
@@ -1,4 +1,4 @@
-/** @file scenario.hpp What a load run sends, to whom, and which faults it provokes when. */
+/** @file scenario.hpp Scenario of a load run: its requests, their targets, and the faults to inject. */
 #pragma once
 
 #include <cornelspring/base.hpp>
@@ -10,48 +10,48 @@
 
 namespace cornelspring {
 
-/** One stream of requests: a customer's callers of one service in one booking window. */
+/** A stream of requests: the callers of one customer that use one service in one booking window. */
 struct caller_group {
     std::string customer;                ///< Customer, such as Leeuwin.
-    std::string school;                  ///< School or office the callers belong to.
+    std::string school;                  ///< School or office of the callers.
     std::string window;                  ///< Booking window, such as "summer-term".
-    std::string service;                 ///< Service queried.
+    std::string service;                 ///< Service that receives the requests.
     double rate = 10;                    ///< Mean arrivals per second (open loop, exponential gaps).
-    double write_share = 0;              ///< Share of the requests that are non-idempotent.
-    std::int64_t deadline_ms = 1000;     ///< Deadline given with each request.
-    double objective = 0.99;             ///< Share of requests that must be answered whole and in time.
-    std::vector<std::string> vocabulary; ///< Words that queries are made of.
+    double write_share = 0;              ///< Share of writes (non-idempotent requests).
+    std::int64_t deadline_ms = 1000;     ///< Deadline of each request.
+    double objective = 0.99;             ///< Share of requests that must be served: full coverage, within the deadline.
+    std::vector<std::string> vocabulary; ///< Words to compose queries from.
 };
 
-/** A fault set on a stand-in at a moment of the run. */
+/** A fault to inject at a stand-in at a given time of the run. */
 struct fault_event {
     double at_s = 0;     ///< Seconds after the start.
-    endpoint target;     ///< Stand-in's address.
-    nlohmann::json body; ///< Body for its fault interface.
+    endpoint target;     ///< Address of the stand-in.
+    nlohmann::json body; ///< Body of the request to its fault interface.
 };
 
-/** A load run. */
+/** Scenario of a load run. */
 struct scenario {
-    std::string name;                  ///< Name, kept in the results.
-    std::uint64_t seed = 1;            ///< Seed of arrivals and queries.
-    double duration_s = 10;            ///< Length of the run.
-    double warmup_s = 2;               ///< Requests sent before this are not counted.
-    std::vector<endpoint> entries;     ///< Entry nodes first asked for addresses.
-    std::vector<endpoint> backends;    ///< Back ends whose journals are read at the end (writes).
-    std::vector<caller_group> callers; ///< Streams of requests.
-    std::vector<fault_event> faults;   ///< Faults by time.
+    std::string name;                  ///< Name, copied to the results.
+    std::uint64_t seed = 1;            ///< Seed of the random arrivals and queries.
+    double duration_s = 10;            ///< Duration of the run.
+    double warmup_s = 2;               ///< Requests that arrive before this time are not counted.
+    std::vector<endpoint> entries;     ///< Entry nodes that are asked for the list of addresses.
+    std::vector<endpoint> backends;    ///< Backend servers whose journals are read after the run to check writes.
+    std::vector<caller_group> callers; ///< Caller groups.
+    std::vector<fault_event> faults;   ///< Faults in order of time.
 };
 
-/** Longest run, in seconds. */
+/** Maximum duration of a run, in seconds. */
 inline constexpr double max_duration_s = 600;
-/** Most requests of one run. */
+/** Maximum expected number of requests of a run. */
 inline constexpr std::size_t max_requests = 2000000;
 
 /**
- * Reads a scenario from TOML.
- * @param text the TOML. @param source file name, for messages.
+ * Parses a scenario.
+ * @param text TOML text. @param source file name, for error messages.
  * @return the scenario.
- * @throw error bad_settings naming the key and the remedy; addresses must be on loopback.
+ * @throw error bad_settings with the key and the remedy, also for an address that is not a loopback address.
  */
 scenario parse_scenario(std::string const& text, std::string const& source);
 
--- a/src/report/main.cpp
+++ b/src/report/main.cpp
@@ -1,4 +1,4 @@
-/** @file main.cpp cornel-report: renders the service-level burn report from load results. */
+/** @file main.cpp cornel-report: renders the error-budget burn report from the results of load runs. */
 #include "report.hpp"
 
 #include <cornelspring/base.hpp>
@@ -10,20 +10,20 @@
 
 /** Settings of cornel-report. */
 std::vector<setting_def> const report_settings = {
-    {"output", setting_type::text, setting_value{std::string("report.html")}, 0, 0, "file that receives the page"},
+    {"output", setting_type::text, setting_value{std::string("report.html")}, 0, 0, "file to write the HTML page to"},
 };
 
-/** Renders the page. */
+/** Renders the results files in @p args as one page. @return exit code. */
 int run(settings const& config, std::vector<std::string> const& args)
 {
     if (args.empty()) {
-        throw error(error_kind::bad_settings, "no results file is given.", "Run 'cornel-report RESULTS.json'.");
+        throw error(error_kind::bad_settings, "no results file given.", "Run 'cornel-report RESULTS.json'.");
     }
     std::vector<nlohmann::json> results;
     for (auto const& path : args) {
         results.push_back(nlohmann::json::parse(read_file(path), nullptr, false));
         if (results.back().is_discarded()) {
-            throw error(error_kind::bad_request, path + " is not JSON.", "Give a file written by cornel-load.");
+            throw error(error_kind::bad_request, path + " is not JSON.", "Give a results file written by cornel-load.");
         }
     }
     write_file_atomic(config.text("output"), render_report(results));
--- a/src/report/report.cpp
+++ b/src/report/report.cpp
@@ -1,4 +1,4 @@
-/** @file report.cpp Rendering the service-level burn report. */
+/** @file report.cpp Renders the error-budget burn report. */
 #include "report.hpp"
 
 #include <cornelspring/base.hpp>
@@ -14,15 +14,15 @@
 /** Size of one plot, in SVG units. */
 constexpr int plot_width = 640;
 constexpr int plot_height = 120;
-/** Burn rate at the top of a plot. */
+/** Burn rate at the top of a plot; higher rates are drawn there. */
 constexpr double plot_max_burn_rate = 10;
-/** Style of the page. */
+/** Style sheet of the page. */
 constexpr char const* page_style =
     "body{font-family:sans-serif;margin:2em;max-width:70em}table{border-collapse:collapse}"
     "td,th{border:1px solid #bbb;padding:.3em .6em;text-align:right}td:first-child,th:first-child{text-align:left}"
     ".bad{background:#f8d0c8}.good{background:#d8f0d0}svg{background:#f8f8f8;border:1px solid #ccc}";
 
-/** @return @p text with the characters that HTML gives a meaning replaced. */
+/** @return @p text with HTML's special characters escaped. */
 std::string escape(std::string const& text)
 {
     std::string out;
@@ -38,7 +38,7 @@
     return out;
 }
 
-/** @return @p value with @p digits after the point. */
+/** @return @p value with @p digits digits after the decimal point. */
 std::string number(double value, int digits)
 {
     std::ostringstream out;
@@ -46,13 +46,13 @@
     return out.str();
 }
 
-/** @return the burn of @p group, read from its counts. */
+/** @return the error budget of @p group, from its counts. */
 error_budget budget_of(nlohmann::json const& group)
 {
     return {group.at("requests").get<int>(), group.at("served").get<int>(), group.at("objective").get<double>()};
 }
 
-/** Adds @p group to @p sum; the objective becomes the strictest of both. */
+/** Adds @p group to @p sum, which gets the stricter objective of the two. */
 void add(error_budget& sum, error_budget const& group)
 {
     sum.objective = sum.requests == 0 ? group.objective : std::max(sum.objective, group.objective);
@@ -60,7 +60,7 @@
     sum.served += group.served;
 }
 
-/** @return a table of burn by @p field of the groups. */
+/** @return a table of burn rates, with one row for each value of @p field in @p groups. */
 std::string burn_table(nlohmann::json const& groups, std::string const& field)
 {
     std::map<std::string, error_budget> rows;
@@ -78,7 +78,7 @@
     return out.str();
 }
 
-/** @return an SVG plot of the burn rate by second of one group. */
+/** @return an SVG plot of the burn rate of @p group by second. */
 std::string burn_plot(nlohmann::json const& group)
 {
     auto const& timeline = group.at("timeline");
@@ -103,7 +103,7 @@
     return out.str();
 }
 
-/** @return the section of one caller group. */
+/** @return the section for the caller group @p group. */
 std::string group_section(nlohmann::json const& group)
 {
     std::ostringstream out;
@@ -119,7 +119,7 @@
     return out.str();
 }
 
-/** @return the section of one results document. */
+/** @return the section for one results document. */
 std::string run_section(nlohmann::json const& results)
 {
     std::ostringstream out;
@@ -155,8 +155,9 @@
         for (auto const& item : results)
             out << run_section(item);
     } catch (nlohmann::json::exception const& failure) {
-        throw error(error_kind::bad_request, std::string("results are not of cornel-load: ") + failure.what(),
-                    "Give files written by 'cornel-load --set results=...'.");
+        throw error(error_kind::bad_request,
+                    std::string("results file was not written by cornel-load: ") + failure.what(),
+                    "Give results files written by 'cornel-load --set results=...'.");
     }
     out << "</body></html>\n";
     return out.str();
--- a/src/report/report.hpp
+++ b/src/report/report.hpp
@@ -1,4 +1,4 @@
-/** @file report.hpp The service-level burn report: HTML with SVG plots from load results. */
+/** @file report.hpp Error-budget burn report: an HTML page with SVG plots, from the results of load runs. */
 #pragma once
 
 #include <string>
@@ -8,21 +8,21 @@
 
 namespace cornelspring {
 
-/** Error-budget arithmetic of one caller group. */
+/** Error budget of one caller group or of several, and its use. */
 struct error_budget {
-    int requests = 0;        ///< Requests counted.
-    int served = 0;          ///< Answered whole and in time.
-    double objective = 0.99; ///< Share that must be served.
-    /** @return share of requests not served. */
+    int requests = 0;        ///< Number of requests.
+    int served = 0;          ///< Requests with full coverage within the deadline.
+    double objective = 0.99; ///< Share of the requests that must be served.
+    /** @return the share of requests that were not served. */
     double error_rate() const;
-    /** @return bad share over the budget (1 - objective): 1 spends the budget exactly, above 1 breaks the objective. */
+    /** @return error rate divided by the budget (1 - objective); above 1 the objective is missed. */
     double burn_rate() const;
 };
 
 /**
- * @return the report as one HTML page with inline SVG, readable without a server.
- * @param results documents written by cornel-load.
- * @throw error bad_request when a document lacks a field.
+ * @return the report as one HTML page with inline SVG that can be opened as a file.
+ * @param results results documents written by cornel-load.
+ * @throw error bad_request if a document lacks a field.
  */
 std::string render_report(std::vector<nlohmann::json> const& results);
 
--- a/src/trace/main.cpp
+++ b/src/trace/main.cpp
@@ -1,4 +1,4 @@
-/** @file main.cpp cornel-trace: from a failed request's id to its cause, from the gateways' logs alone. */
+/** @file main.cpp cornel-trace: finds the cause of a failed request, given its id, in the gateways' logs. */
 #include "trace.hpp"
 
 #include <cornelspring/base.hpp>
@@ -12,10 +12,11 @@
 /** Settings of cornel-trace. */
 std::vector<setting_def> const trace_settings = {
     {"id", setting_type::text, setting_value{std::string()}, 0, 0,
-     "request id to trace; empty: a summary of all failures"},
+     "id of the request to trace; if empty, a summary of all failed requests is printed"},
 };
 
-/** Reads the files named, or standard input, and writes the trace or the summary. */
+/** Reads the log @p files, or standard input if there are none, and prints the trace or the summary. @return exit
+ *  code. */
 int run(settings const& config, std::vector<std::string> const& files)
 {
     std::vector<log_record> records;
@@ -29,7 +30,8 @@
     if (!id.empty()) {
         if (write_trace(records, id, std::cout)) return 0;
         throw error(error_kind::not_found, "no record of request '" + id + "'.",
-                    "Give the logs of all gateways; under load some good requests are left out ('left_out').");
+                    "Give the logs of all gateways. Under load, gateways leave out some successful requests (log field "
+                    "'left_out').");
     }
     for (auto const& [cause, count] : count_by_cause(records)) {
         std::cout << count.requests << "\t" << cause << "\t(for example " << count.example_id << ")\n";
--- a/src/trace/trace.cpp
+++ b/src/trace/trace.cpp
@@ -1,4 +1,4 @@
-/** @file trace.cpp Reading the gateways' logs. */
+/** @file trace.cpp Reads the gateways' logs and derives the causes of failed requests. */
 #include "trace.hpp"
 
 #include <iomanip>
@@ -10,10 +10,10 @@
 
 using nlohmann::json;
 
-/** Seconds before a request's arrival from which events are shown. */
+/** Length of the period before a request's arrival whose events are included in its trace. */
 constexpr double context_s = 5;
 
-/** @return the kind of the first failed attempt in a request's record, or "". */
+/** @return the outcome of the first failed attempt in a request's record, or "" if there is none. */
 std::string first_failure(json const& request)
 {
     auto const text = request.value("failures", std::string());
@@ -22,7 +22,7 @@
     return text.substr(first + 1, text.find(':', first + 1) - first - 1);
 }
 
-/** @return how attempts failed, in words. */
+/** @return a description of @p failure, the outcome of a failed attempt. */
 std::string describe_failure(std::string const& failure)
 {
     if (failure == "not_sent") return "backend servers could not be connected to";
@@ -33,11 +33,11 @@
     return "backend servers did not answer in time";
 }
 
-/** @return whether an event belongs into the trace of a request. */
+/** @return whether @p event belongs in the trace of @p request. */
 bool is_relevant(log_record const& event, log_record const& request)
 {
     auto const kind = event.fields.value("event", "");
-    // What became of a backend server is named by the gateways that watch the store, and learned by all.
+    // Only gateways that watch the store log state changes of backend servers, but the changes reach all gateways.
     if (kind == "backend") {
         auto const failures = request.fields.value("failures", std::string());
         return failures.find(event.fields.value("backend", "-")) != std::string::npos;
@@ -45,7 +45,7 @@
     return event.source == request.source && kind != "request" && kind != "refused" && kind != "member";
 }
 
-/** Writes one record as a line. */
+/** Writes @p record as a line. @param base_s time of day that its time is relative to. */
 void write_line(log_record const& record, double base_s, std::ostream& out)
 {
     out << std::fixed << std::setprecision(3) << std::setw(9) << record.at_s - base_s << " s  " << record.source
@@ -69,7 +69,7 @@
         auto source = line.substr(0, brace);
         while (!source.empty() && source.back() == ' ')
             source.pop_back();
-        // A collector may put its own time before the name of the process.
+        // A log collector may put its own time stamp before the name of the process.
         auto const last = source.rfind(' ');
         if (last != std::string::npos) source = source.substr(last + 1);
         double const at_s = fields["ts"].get<double>();
--- a/src/trace/trace.hpp
+++ b/src/trace/trace.hpp
@@ -1,4 +1,4 @@
-/** @file trace.hpp Reading the gateways' logs: the life of one request, and all failed requests by cause. */
+/** @file trace.hpp Reads the gateways' logs: the trace of one request, and the numbers of failed requests by cause. */
 #pragma once
 
 #include <iosfwd>
@@ -10,36 +10,37 @@
 
 namespace cornelspring {
 
-/** One log line. */
+/** One log record. */
 struct log_record {
     double at_s = 0;       ///< Time of day in seconds.
-    std::string source;    ///< What stood before the record: a file name, or a collector's prefix.
-    nlohmann::json fields; ///< The record.
+    std::string source;    ///< Process that wrote it, from the collector's prefix; else the file name.
+    nlohmann::json fields; ///< The JSON object of the record.
 };
 
-/** Reads log lines; text before a record's brace is its source, and lines without a record are passed over.
- *  @param in lines. @param name source when a line has none. @param records receives them. */
+/** Reads log records. The last word before a record's opening brace is its source; lines without a record are skipped.
+ *  @param in log lines. @param name source of records without a prefix. @param records receives the records. */
 void read_log(std::istream& in, std::string const& name, std::vector<log_record>& records);
 
 /**
- * @return why a request was not served, in words an operator can act on; empty when it was served whole.
- * @param request its record.
+ * @return the cause of a request's failure or partial response, worded for operators; empty if the response was
+ * complete.
+ * @param request record of the request.
  */
 std::string cause_of(nlohmann::json const& request);
 
-/** How many requests ended for one cause. */
+/** Number of requests with one cause. */
 struct cause_count {
-    int requests = 0;       ///< Requests.
-    std::string example_id; ///< One of them.
+    int requests = 0;       ///< Number of requests.
+    std::string example_id; ///< Id of the first of them.
 };
 
-/** @return failed and partly answered requests by cause. @param records all records. */
+/** @return failed and partial requests by cause. @param records all records. */
 std::map<std::string, cause_count> count_by_cause(std::vector<log_record> const& records);
 
 /**
- * Writes what is known of one request: its record and cause, then what the same gateway believed and learned of the
- * backend servers, the configuration and the store from some seconds before its arrival until its end.
- * @param records all records. @param id request id. @param out where to. @return whether the request was found.
+ * Writes the trace of one request: its cause, then the events of its gateway and the state changes of its backend
+ * servers from some seconds before its arrival until it finished, then its record.
+ * @param records all records. @param id request id. @param out receives the trace. @return whether it was found.
  */
 bool write_trace(std::vector<log_record> const& records, std::string const& id, std::ostream& out);
 
--- a/tests/test_emulator.cpp
+++ b/tests/test_emulator.cpp
@@ -1,4 +1,4 @@
-/** @file test_emulator.cpp Heavy loads and faults played to the gateway's decisions in virtual time. */
+/** @file test_emulator.cpp Tests of the gateway's dispatcher under overload and faults, in virtual time. */
 #include <cornelspring/emulator.hpp>
 
 #include <doctest/doctest.h>
@@ -7,7 +7,8 @@
 
 namespace {
 
-/** @return seven VMs, 20 shards, the two kinds of query of Rechtshilfe at @p load times their rate. */
+/** @return a deployment with seven VMs, 20 shards and the two query kinds of customer Rechtshilfe, at @p load times
+ * their normal rates. */
 emulated_deployment rechtshilfe(double load)
 {
     emulated_deployment deployment;
@@ -32,7 +33,7 @@
     return deployment;
 }
 
-/** @return the value earned in the seconds from @p from to @p to. */
+/** @return mean earned share of the seconds from @p from up to, not including, @p to. */
 double share_between(emulation_result const& result, std::size_t from, std::size_t to)
 {
     double sum = 0;
@@ -43,32 +44,32 @@
 
 } // namespace
 
-TEST_CASE("emulator: the same input gives the same outcome")
+TEST_CASE("emulator: equal input gives an equal outcome")
 {
     auto const deployment = rechtshilfe(1.0);
     CHECK(to_json(emulate(deployment)) == to_json(emulate(deployment)));
 }
 
-TEST_CASE("emulator: at the usual load nearly all is earned, and little crosses regions")
+TEST_CASE("emulator: at normal load nearly the full value is earned, and few attempts go to another region")
 {
     auto const result = emulate(rechtshilfe(1.0));
     CHECK(result.earned_share() > 0.93);
     CHECK(static_cast<double>(result.other_region) < 0.55 * static_cast<double>(result.attempts));
 }
 
-TEST_CASE("emulator: hedging pays under pauses")
+TEST_CASE("emulator: hedging raises the earned value when backend servers pause")
 {
     auto plain = rechtshilfe(0.8);
-    plain.options.hedge_goal_share = 10; // Never within the goal.
+    plain.options.hedge_goal_share = 10; // A hedge is never sent within the goal.
     plain.options.hedge_quantile = 1;
     plain.options.hedge_min = milliseconds(100000);
-    // Before: 0.936 of the value; with hedges 0.975, on this seed.
+    // Earned share with this seed: 0.936 without hedges, 0.975 with hedges.
     CHECK(emulate(rechtshilfe(0.8)).earned_share() > emulate(plain).earned_share() + 0.02);
 }
 
-TEST_CASE("emulator: when many come at once and most repeat at once, refusing some serves more callers in time")
+TEST_CASE("emulator: in a burst with immediate retries, admission control raises the earned value")
 {
-    // Measured over seeds 1 to 12: 0.564 without admission, 0.669 with it.
+    // Earned share over seeds 1 to 12: 0.564 without admission control, 0.669 with it.
     double gained = 0;
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
         auto with = rechtshilfe(1.0);
@@ -83,10 +84,11 @@
     CHECK(gained > 0.05);
 }
 
-TEST_CASE("emulator: under a lasting load beyond what backend servers can do, most of what they do is in time")
+TEST_CASE("emulator: under lasting overload, most responses of the backend servers are in time")
 {
-    // Twice and 2.5 times the usual load are 1.09 and 1.37 times what the backend servers can do. Measured over seeds 1
-    // to 12: 0.42 and 0.24 of the value with a bound on open queries, 0.59 and 0.41 with the share by measured wait.
+    // 2 and 2.5 times the normal load are 1.09 and 1.37 times the capacity of the backend servers. Earned shares over
+    // seeds 1 to 12: 0.42 and 0.24 with a limit on queries in flight; 0.59 and 0.41 with an admitted share that is
+    // derived from the measured queueing delay.
     std::map<double, double> const least{{2.0, 0.5}, {2.5, 0.32}};
     for (auto const& [load, wanted] : least) {
         CAPTURE(load);
@@ -100,10 +102,11 @@
     }
 }
 
-TEST_CASE("emulator: seventy VMs, each of which sees few queries, refuse as well as seven")
+TEST_CASE("emulator: admission control works with 70 VMs, each with few queries, as with seven")
 {
-    // At 2.5 times the usual load over seeds 1 to 4: 0.036 of the value with a bound on each VM's open queries, which
-    // cannot go below one, and 0.368 with the share by measured wait; 0.408 with seven VMs.
+    // Earned shares at 2.5 times the normal load over seeds 1 to 4: 0.036 with a limit on each VM's queries in flight,
+    // because that limit cannot be less than one; 0.368 with an admitted share that is derived from the measured
+    // queueing delay; 0.408 with the latter and seven VMs.
     double earned = 0;
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
         auto many = rechtshilfe(2.5);
@@ -115,9 +118,10 @@
     CHECK(earned > 0.28);
 }
 
-TEST_CASE("emulator: at loads that backend servers can carry, admission costs next to nothing")
+TEST_CASE("emulator: at loads within the capacity, admission control costs almost nothing")
 {
-    // Measured over seeds 1 to 12: 0.979 without and 0.978 with it at the usual load, 0.938 and 0.943 at 1.3 times.
+    // Earned shares without and with admission control over seeds 1 to 12: 0.979 and 0.978 at normal load, 0.938 and
+    // 0.943 at 1.3 times that load.
     for (double const load : {1.0, 1.3}) {
         CAPTURE(load);
         double lost = 0;
@@ -132,7 +136,7 @@
     }
 }
 
-TEST_CASE("emulator: after a restart of all VMs the load is served again within two seconds")
+TEST_CASE("emulator: after a restart of all gateways, requests are served again within two seconds")
 {
     for (std::uint64_t seed : {1, 2, 3}) {
         CAPTURE(seed);
@@ -143,7 +147,7 @@
     }
 }
 
-TEST_CASE("emulator: a few slow or dark backend servers do not make gateways refuse")
+TEST_CASE("emulator: gateways do not reject requests because of a few slow or unresponsive backend servers")
 {
     for (char const* kind : {"slow", "dark"}) {
         CAPTURE(kind);
@@ -161,7 +165,7 @@
     }
 }
 
-TEST_CASE("emulator: the more urgent kind of query is never served less")
+TEST_CASE("emulator: the kind with the higher priority is not served less than the other")
 {
     auto const result = emulate(rechtshilfe(2.2));
     auto const served = [](emulated_outcome const& kind) {
@@ -170,7 +174,7 @@
     CHECK(served(result.kinds[0]) > served(result.kinds[1]) - 0.05);
 }
 
-TEST_CASE("emulator: deployments are checked when they are read")
+TEST_CASE("emulator: deployment files are validated")
 {
     CHECK_NOTHROW(parse_deployment("vms = 9\n[[kind]]\nname = \"a\"\n", "file"));
     CHECK_THROWS_AS(parse_deployment("vms = 9\n", "file"), error);
--- a/tests/test_load_tools.cpp
+++ b/tests/test_load_tools.cpp
@@ -1,4 +1,4 @@
-/** @file test_load_tools.cpp The load tool's scenario, arithmetic and report. */
+/** @file test_load_tools.cpp Tests of cornel-load's scenarios and results, and of the report of cornel-report. */
 #include "load/results.hpp"
 #include "report/report.hpp"
 
@@ -27,7 +27,7 @@
 body = { delay_ms = 5 }
 )";
 
-/** @return a sample of the valid scenario's group. */
+/** @return a sample of the caller group of the valid scenario. */
 request_sample sample(double at_s, double latency_ms, double coverage, std::string outcome)
 {
     request_sample out;
@@ -40,7 +40,7 @@
 
 } // namespace
 
-TEST_CASE("a scenario is read, and bad ones are refused with the key named")
+TEST_CASE("a valid scenario is parsed, and errors for invalid ones name the key")
 {
     auto const plan = parse_scenario(valid, "t.toml");
     CHECK(plan.callers.size() == 1);
@@ -68,7 +68,7 @@
         changed.replace(changed.find(item.from), std::string(item.from).size(), item.to);
         try {
             parse_scenario(changed, "t.toml");
-            FAIL("was accepted");
+            FAIL("invalid scenario was accepted");
         } catch (error const& failure) {
             CHECK(failure.kind() == error_kind::bad_settings);
             CHECK(failure.message().find(item.named) != std::string::npos);
@@ -76,10 +76,10 @@
     }
 }
 
-TEST_CASE("results count what was served after the warm-up, and percentiles are exact")
+TEST_CASE("results count the requests after the warm-up, and percentiles are exact")
 {
     auto const plan = parse_scenario(valid, "t.toml");
-    std::vector<request_sample> samples{sample(0.5, 900, 0, "lost")}; // warm-up: not counted
+    std::vector<request_sample> samples{sample(0.5, 900, 0, "lost")}; // In the warm-up: not counted.
     for (int i = 1; i <= 1000; ++i)
         samples.push_back(sample(2, i, 1.0, "whole"));
     samples.push_back(sample(3, 5000, 0.5, "partial"));
@@ -93,7 +93,7 @@
     CHECK(results["groups"][0]["timeline"].size() == 2);
 }
 
-TEST_CASE("writes that ran more than once, or were answered without running, are counted")
+TEST_CASE("results count writes that ran more than once, or succeeded without running")
 {
     auto plan = parse_scenario(valid, "t.toml");
     plan.backends.push_back({"127.0.0.1", 1});
@@ -109,7 +109,7 @@
     CHECK(results["writes"]["answered_but_did_not_run"] == 1);
 }
 
-TEST_CASE("shard requests are summed over entry nodes by kind")
+TEST_CASE("shard requests are summed over all entry nodes, by kind")
 {
     std::string const text = "# HELP x\ncornel_shard_requests_total{kind=\"first\"} 10\n"
                              "cornel_shard_requests_total{kind=\"hedge\"} 2\n";
@@ -119,7 +119,7 @@
     CHECK(sent.retry == doctest::Approx(0));
 }
 
-TEST_CASE("the burn report names every customer, service, school and window, and escapes them")
+TEST_CASE("the burn report shows each customer, service, school and window, with HTML escaped")
 {
     auto plan = parse_scenario(valid, "t.toml");
     plan.callers[0].school = "<Fremantle>";
--- a/tests/test_trace.cpp
+++ b/tests/test_trace.cpp
@@ -1,4 +1,4 @@
-/** @file test_trace.cpp From a request's id to its cause, on recorded log lines. */
+/** @file test_trace.cpp Tests of cornel-trace on recorded log lines. */
 #include "trace/trace.hpp"
 
 #include <doctest/doctest.h>
@@ -9,7 +9,7 @@
 
 namespace {
 
-/** Recorded lines of two gateways, as a collector prefixes them. */
+/** Log lines of two gateways, with the prefix of a log collector. */
 char const* const recorded = R"(
   1.0000 gw-1 {"ts":100.0,"event":"config","revision":7,"version":3,"applied":true}
   2.0000 gw-1 {"ts":102.0,"event":"backend","backend":"i-1","state":"gone","revision":9}
@@ -22,7 +22,7 @@
   not a record
 )";
 
-/** @return the records. */
+/** @return the records of the recorded lines. */
 std::vector<log_record> records()
 {
     std::istringstream in(recorded);
@@ -33,7 +33,7 @@
 
 } // namespace
 
-TEST_CASE("trace: lines are read with their source, others passed over")
+TEST_CASE("trace: records are read with their source, other lines are skipped")
 {
     auto const all = records();
     REQUIRE(all.size() == 8);
@@ -41,7 +41,7 @@
     CHECK(all[0].at_s == doctest::Approx(100.0));
 }
 
-TEST_CASE("trace: failed requests are counted by cause, none unknown")
+TEST_CASE("trace: failed requests are counted by cause, and each cause is known")
 {
     auto const causes = count_by_cause(records());
     CHECK(causes.size() == 3);
@@ -50,7 +50,7 @@
     CHECK_FALSE(causes.contains("unknown"));
 }
 
-TEST_CASE("trace: a request's life names what its gateway learned of its backend servers")
+TEST_CASE("trace: the trace of a request includes its gateway's events and its backend servers' state changes")
 {
     std::ostringstream out;
     CHECK(write_trace(records(), "r1", out));
@@ -63,7 +63,7 @@
     CHECK_FALSE(write_trace(records(), "absent", out));
 }
 
-TEST_CASE("trace: what became of a backend server is found at whichever gateway names it")
+TEST_CASE("trace: a backend server's state change is included whichever gateway logged it")
 {
     std::istringstream in(R"(
   1.0 gw-1 {"ts":101.0,"event":"learned","ready":0,"draining":0,"lapsed":0,"gone":1,"joined":0,"left":0,"revision":9}
@@ -80,7 +80,7 @@
     CHECK(out.str().find("revision=8") == std::string::npos);
 }
 
-TEST_CASE("trace: every way a request can end has a cause")
+TEST_CASE("trace: each reason of a failed request has a cause")
 {
     for (char const* reason : {"partial", "starting", "no_route", "no_time", "overloaded", "no_room", "caller_gone",
                                "deadline", "too_few_shards", "failed", "stopping"}) {
