--- a/src/emulator/emulator.cpp
+++ b/src/emulator/emulator.cpp
@@ -24,10 +24,10 @@
 
 /** Last path element and request id of a crashing request. */
 constexpr char const* crashing_path = "crashing";
-/** Time after crash number crashes_until_known by which all gateways must reject the crashing request. */
-constexpr double known_after_s = 5;
+/** Time after crash number crashes_until_quarantine by which all gateways must reject the crashing request. */
+constexpr double quarantine_after_s = 5;
 /** Number of crashes after which gateways must be able to identify the crashing request. */
-constexpr int crashes_until_known = 3;
+constexpr int crashes_until_quarantine = 3;
 
 /** The simulation of one deployment. */
 class model {
@@ -90,10 +90,10 @@
         1}; ///< Choice of gateways for crashing requests; its own generator keeps m_random unchanged.
     std::map<std::string, std::vector<crash_record>> m_published_records; ///< Last published crash records by gateway.
     std::uint64_t m_last_request_number = 0;                              ///< Number of the last caller's request.
-    time_point m_known_from = time_point::max(); ///< Time from which the crashing request must be rejected.
-    emulation_result m_result;                   ///< Result of the run.
-    std::vector<double> m_earned;                ///< Earned value by second of arrival.
-    std::vector<double> m_owed;                  ///< Owed value by second of arrival.
+    time_point m_quarantine_from = time_point::max(); ///< Time from which the crashing request must be rejected.
+    emulation_result m_result;                        ///< Result of the run.
+    std::vector<double> m_earned;                     ///< Earned value by second of arrival.
+    std::vector<double> m_owed;                       ///< Owed value by second of arrival.
 };
 
 model::model(emulated_deployment const& deployment) : m_deployment(deployment), m_random(deployment.seed)
@@ -258,14 +258,14 @@
                        {"deadline", std::to_string(m_deployment.kinds.front().deadline_ms)}};
     auto const before = m_result.attempts;
     vm.request_dispatcher->start(request_key(++vm.last_key), std::move(message), {}, {}, m_events.now());
-    if (m_events.now() >= m_known_from && m_result.attempts > before) ++m_result.crashing_repeats;
+    if (m_events.now() >= m_quarantine_from && m_result.attempts > before) ++m_result.crashing_repeats;
     schedule_wake(vm);
 }
 
 void model::on_server_crash()
 {
-    if (++m_result.servers_crashed != crashes_until_known) return;
-    m_known_from = m_events.now() + from_ms(known_after_s * 1000);
+    if (++m_result.servers_crashed != crashes_until_quarantine) return;
+    m_quarantine_from = m_events.now() + from_ms(quarantine_after_s * 1000);
 }
 
 void model::publish_crash_records(gateway_vm& vm)
@@ -343,12 +343,12 @@
         return;
     }
     auto next_try = request;
-    auto const refused_after = m_events.now() - request.started_at;
+    auto const rejected_after = m_events.now() - request.started_at;
     // A caller whose first try is rejected early, and whose last try meets the goal, gets part of the full value.
     // This share of the goal is the limit for an early rejection.
     constexpr double early_share = 0.25;
     if (request.tries == 1 && response.status == 503)
-        next_try.rejected_early = refused_after <= from_ms(early_share * kind.goal_ms);
+        next_try.rejected_early = rejected_after <= from_ms(early_share * kind.goal_ms);
     auto const after = response.header("retry-after");
     auto const pause = std::min(from_ms(after.empty() || request.repeats ? 0 : std::stod(after) * 1000), time_left / 3);
     m_events.schedule(m_events.now() + pause, [this, next_try] { start_try(next_try); });
