--- a/include/cornelspring/emulator.hpp
+++ b/include/cornelspring/emulator.hpp
@@ -58,7 +58,7 @@
     int queue = 12;                     ///< Queue length of a backend server; it rejects requests beyond that.
     double pause_ms = 300;              ///< Duration of a pause, in which a backend server makes no progress.
     double pause_every_s = 7.5;         ///< Mean time between two pauses of a backend server; 0: no pauses.
-    int max_connections = 26;           ///< Maximum number of connections of a backend server.
+    int max_connections = 26;           ///< Connections that a backend server accepts, as configured for its service.
     double told_ms = 300;               ///< Time until a gateway's crash records reach all other gateways.
     double down_s = 3;                  ///< Time until a backend server that a request crashed runs again.
     double seconds = 20;                ///< Time in which requests arrive, in seconds.
--- a/src/emulator/emulator.cpp
+++ b/src/emulator/emulator.cpp
@@ -81,13 +81,13 @@
 
     emulated_deployment m_deployment;                        ///< Deployment to simulate.
     event_queue m_events;                                    ///< Event queue with the virtual clock.
-    std::mt19937_64 m_random;                                ///< Random numbers, except those of faults.
+    std::mt19937_64 m_random;                                ///< Random numbers, except those for faults.
     std::vector<std::unique_ptr<modelled_server>> m_servers; ///< Backend servers.
     std::map<std::string, std::size_t> m_server_index;       ///< Index in m_servers by backend id.
     std::vector<std::unique_ptr<gateway_vm>> m_vms;          ///< Gateways.
     std::vector<double> m_rate_factor;                       ///< Current factor on the arrival rate, by kind.
-    std::mt19937_64 m_crashing_random{
-        1}; ///< Choice of gateways for crashing requests; its own generator keeps m_random unchanged.
+    /** Choice of gateways for crashing requests. A generator of its own leaves the sequence of m_random unchanged. */
+    std::mt19937_64 m_crashing_random{1};
     std::map<std::string, std::vector<crash_record>> m_published_records; ///< Last published crash records by gateway.
     std::uint64_t m_last_request_number = 0;                              ///< Number of the last caller's request.
     time_point m_quarantine_from = time_point::max(); ///< Time from which the crashing request must be rejected.
@@ -378,8 +378,8 @@
 
 void model::schedule_faults()
 {
-    auto fault_seed = m_deployment.seed *
-                      1000; // Independent of m_random, so that an additional fault changes no other random choice.
+    // Independent of m_random, so that an additional fault changes no other random choice.
+    auto fault_seed = m_deployment.seed * 1000;
     for (auto const& fault : m_deployment.faults) {
         if (fault.kind == "crashing_request") {
             for (double at_s = fault.at_s; at_s < fault.at_s + fault.for_s; at_s += fault.x)
--- a/src/emulator/modelled_server.hpp
+++ b/src/emulator/modelled_server.hpp
@@ -1,5 +1,4 @@
-/** @file modelled_server.hpp Backend server of the emulator, with slots, a bounded queue, pauses and faults (internal).
- */
+/** @file modelled_server.hpp Backend server of the emulator, with queue, pauses and faults (internal). */
 #pragma once
 
 #include "event_queue.hpp"
