--- a/src/report/report.hpp
+++ b/src/report/report.hpp
@@ -15,7 +15,8 @@
     double objective = 0.99; ///< Share of the requests that must be served.
     /** @return the share of requests that were not served. */
     double error_rate() const;
-    /** @return error rate divided by the budget (1 - objective); above 1 the objective is missed. */
+    /** @return error rate divided by the budget (1 - objective): at 1 the budget is spent exactly, above 1 the
+     * objective is missed. */
     double burn_rate() const;
 };
 
