--- a/src/trace/trace.cpp
+++ b/src/trace/trace.cpp
@@ -1,4 +1,4 @@
-/** @file trace.cpp Reading the gateways' logs. */
+/** @file trace.cpp Reads the gateways' logs and derives the causes of failed requests. */
 #include "trace.hpp"
 
 #include <iomanip>
@@ -10,10 +10,10 @@
 
 using nlohmann::json;
 
-/** Seconds before a request's arrival from which events are shown. */
-constexpr double seconds_before = 5;
+/** Length of the period before a request's arrival whose events are included in its trace. */
+constexpr double context_s = 5;
 
-/** @return the kind of the first failed attempt in a request's record, or "". */
+/** @return the outcome of the first failed attempt in a request's record, or "" if there is none. */
 std::string first_failure(json const& request)
 {
     auto const text = request.value("failures", std::string());
@@ -22,8 +22,8 @@
     return text.substr(first + 1, text.find(':', first + 1) - first - 1);
 }
 
-/** @return how attempts failed, in words. */
-std::string words_for(std::string const& failure)
+/** @return a description of @p failure, the outcome of a failed attempt. */
+std::string describe_failure(std::string const& failure)
 {
     if (failure == "not_sent") return "backend servers could not be connected to";
     if (failure == "disconnected") return "backend servers closed connections without an answer";
@@ -33,11 +33,11 @@
     return "backend servers did not answer in time";
 }
 
-/** @return whether an event belongs into the trace of a request. */
-bool concerns(log_record const& event, log_record const& request)
+/** @return whether @p event belongs in the trace of @p request. */
+bool is_relevant(log_record const& event, log_record const& request)
 {
     auto const kind = event.fields.value("event", "");
-    // What became of a backend server is named by the gateways that watch the store, and learned by all.
+    // Only gateways that watch the store log state changes of backend servers, but the changes reach all gateways.
     if (kind == "backend") {
         auto const failures = request.fields.value("failures", std::string());
         return failures.find(event.fields.value("backend", "-")) != std::string::npos;
@@ -45,7 +45,7 @@
     return event.source == request.source && kind != "request" && kind != "refused" && kind != "member";
 }
 
-/** Writes one record as a line. */
+/** Writes @p record as a line. @param base_s time of day that its time is relative to. */
 void write_line(log_record const& record, double base_s, std::ostream& out)
 {
     out << std::fixed << std::setprecision(3) << std::setw(9) << record.at_s - base_s << " s  " << record.source
@@ -69,7 +69,7 @@
         auto source = line.substr(0, brace);
         while (!source.empty() && source.back() == ' ')
             source.pop_back();
-        // A collector may put its own time before the name of the process.
+        // A log collector may put its own time stamp before the name of the process.
         auto const last = source.rfind(' ');
         if (last != std::string::npos) source = source.substr(last + 1);
         double const at_s = fields["ts"].get<double>();
@@ -83,7 +83,7 @@
     auto const failure = first_failure(request);
     if (reason == "answered" || reason == "whole") return {};
     if (reason == "partial")
-        return "partial: " + (failure.empty() ? "slow shards at the route's goal" : words_for(failure));
+        return "partial: " + (failure.empty() ? "slow shards at the route's goal" : describe_failure(failure));
     if (reason == "starting") return "refused: the gateway knew no configuration yet";
     if (reason == "no_route") return "refused: no route of the configuration in force matches";
     if (reason == "no_time") return "refused: the caller left too little time";
@@ -98,14 +98,14 @@
     if (reason == "on_trial") return "refused: the request is being tried at one backend server, after others crashed";
     if (reason == "crashed_servers") return "failed: backend servers crash under the request";
     if (reason == "caller_gone") return "caller left before the answer";
-    if (reason == "deadline") return "deadline: " + words_for(failure);
-    if (reason == "too_few_shards") return "too few shards: " + words_for(failure);
-    if (reason == "failed") return "failed: " + words_for(failure);
+    if (reason == "deadline") return "deadline: " + describe_failure(failure);
+    if (reason == "too_few_shards") return "too few shards: " + describe_failure(failure);
+    if (reason == "failed") return "failed: " + describe_failure(failure);
     if (reason == "stopping") return "cut short by the end of a planned stop";
     return "unknown";
 }
 
-std::map<std::string, cause_count> summarize(std::vector<log_record> const& records)
+std::map<std::string, cause_count> count_by_cause(std::vector<log_record> const& records)
 {
     std::map<std::string, cause_count> causes;
     for (auto const& record : records) {
@@ -130,8 +130,8 @@
         out << "request " << id << " at " << record.source << ": status " << record.fields.value("status", 0) << ", "
             << (cause.empty() ? "served" : cause) << "\n";
         for (auto const& event : records) {
-            bool const near = event.at_s >= arrived_s - seconds_before && event.at_s <= record.at_s;
-            if (near && concerns(event, record)) write_line(event, arrived_s, out);
+            bool const in_window = event.at_s >= arrived_s - context_s && event.at_s <= record.at_s;
+            if (in_window && is_relevant(event, record)) write_line(event, arrived_s, out);
         }
         write_line(record, arrived_s, out);
     }
