--- a/include/cornelspring/coordination.hpp
+++ b/include/cornelspring/coordination.hpp
@@ -162,7 +162,7 @@
         m_tokens = std::min(m_burst, m_tokens + m_ratio * static_cast<double>(requests));
     }
     /** Takes one token. @return true when there was one: the extra request may be sent. */
-    bool spend();
+    bool try_consume();
 
 private:
     double m_ratio;  ///< Tokens earned per ordinary request.
@@ -193,7 +193,7 @@
     double latency_weight = 0.2;         ///< Weight of a new latency sample in the moving average.
     double outlier_factor = 4;           ///< A sample counts as at most this many times the average.
     milliseconds latency_half_life{500}; ///< Half-life of an average without new samples: a slow server is tried again.
-    std::chrono::microseconds initial_latency{100}; ///< Assumed for a server without samples: low, so that it is tried.
+    std::chrono::microseconds initial_latency{100}; ///< Assumed without samples; low, so that the server is tried.
 };
 
 /**
@@ -255,13 +255,13 @@
 
 /** Outcome of a scatter-gather. */
 struct gather_result {
-    std::optional<query_answer> response; ///< The response, when at least one shard responded.
-    std::optional<error> failure;         ///< Reason for the failure otherwise.
-    int retry_after_s = 0;                ///< For failures: seconds after which the caller may retry.
-    std::int32_t attempts = 0;            ///< Shard requests submitted (first attempts, retries and hedges).
-    std::int32_t sent = 0;                ///< Of those, requests that left this process (may have run).
-    std::int32_t retries = 0;             ///< Requests sent after a failure.
-    std::int32_t hedges = 0;              ///< Requests sent while another for the same shard was in flight.
+    std::optional<query_response> response; ///< The response, when at least one shard responded.
+    std::optional<error> failure;           ///< Reason for the failure otherwise.
+    int retry_after_s = 0;                  ///< For failures: seconds after which the caller may retry.
+    std::int32_t attempts = 0;              ///< Shard requests submitted (first attempts, retries and hedges).
+    std::int32_t sent = 0;                  ///< Of those, requests that left this process (may have run).
+    std::int32_t retries = 0;               ///< Requests sent after a failure.
+    std::int32_t hedges = 0;                ///< Requests sent while another for the same shard was in flight.
 };
 
 /** Settings of scatter-gather. */
@@ -367,9 +367,9 @@
 
 /** Outcome of a non-idempotent request. */
 struct write_result {
-    std::optional<write_answer> response; ///< Its result, if it ran (now or for an earlier submission).
-    std::optional<error> failure;         ///< Otherwise not_run, unavailable, conflict or outcome_unknown.
-    int retry_after_s = 0;                ///< Seconds after which the caller may retry.
+    std::optional<write_response> response; ///< Its result, if it ran (now or for an earlier submission).
+    std::optional<error> failure;           ///< Otherwise not_run, unavailable, conflict or outcome_unknown.
+    int retry_after_s = 0;                  ///< Seconds after which the caller may retry.
 };
 
 /**
--- a/include/cornelspring/gateway.hpp
+++ b/include/cornelspring/gateway.hpp
@@ -62,7 +62,7 @@
     void send_request();
     /** Handles received bytes. */
     void on_bytes(std::string_view bytes);
-    /** Handles the end of the connection. */
+    /** Handles the closing or failure of the connection. */
     void on_end(stream_end how);
     /** Finishes the exchange with the response that was read. @param rest bytes received after it. */
     void handle_response(std::string_view rest);
@@ -103,11 +103,11 @@
 class backend_pool {
 public:
     /** @param loop event loop. @param options settings. @param on_result receives the outcome of each attempt that is
-     *  not cancelled. */
+     *  not canceled. */
     backend_pool(event_loop& loop, pool_options options, std::function<void(attempt_id, attempt_result)> on_result);
     ~backend_pool();
-    /** Sends an attempt. @param order the attempt. */
-    void send(outgoing_attempt order);
+    /** Sends an attempt. @param attempt what to send, and where. */
+    void send(outgoing_attempt attempt);
     /** Cancels an attempt by closing its connection. @param id attempt. */
     void cancel(attempt_id id);
     /** Opens a connection before a request needs it. @param server backend server to connect to. */
@@ -143,10 +143,11 @@
     struct hooks {
         /** A complete request was received. The service calls respond() for it, during this callback or later. */
         std::function<void(caller_request)> on_request;
-        std::function<void(request_key)> on_disconnect; ///< The caller disconnected before the response was sent.
-        std::function<caller_limits()> limits;          ///< Limits in force.
+        /** The caller disconnected before the response was sent. */
+        std::function<void(request_key)> on_caller_disconnected;
+        std::function<caller_limits()> limits; ///< Limits in force.
         /** A request was rejected before routing. @param status status of the response, or 0. @param reason why. */
-        std::function<void(int status, char const* reason)> on_refused;
+        std::function<void(int status, char const* reason)> on_rejected;
     };
     /** @param loop event loop. @param hooks callbacks into the service. */
     caller_server(event_loop& loop, hooks hooks);
@@ -179,11 +180,11 @@
 gateway_member decode_member(std::string const& value);
 
 /**
- * Chooses the active gateways: those whose addresses callers receive. Their number is limited, because more gateways
- * than backend servers have connections for would keep opening and closing connections, and because a gateway with more
- * requests detects slow backend servers sooner. Each failure domain gets the same number, its largest VMs first.
- * Stopping gateways are chosen only if all are stopping. VMs that are much smaller than the others are left out if the
- * others have enough capacity.
+ * Chooses the active gateways: those whose addresses callers receive. Their number is limited for two reasons: if
+ * there were more gateways than connections at a backend server, they would keep opening and closing connections; and a
+ * gateway with more requests detects slow backend servers sooner. Each failure domain gets the same number, its largest
+ * VMs first. Stopping gateways are chosen only if all are stopping. VMs that are much smaller than the others are left
+ * out if the others have enough capacity.
  * @param members live gateways. @param max_count most gateways to choose; at least one per failure domain is chosen.
  * @return store keys of the active gateways.
  */
@@ -198,9 +199,9 @@
 
 /**
  * Chooses the addresses for one caller: active gateways of its failure domain if there are at least two, else of its
- * region, else all. If the host has home regions, one gateway in the caller's region is enough; without one, gateways
- * in the home regions are chosen, and any others only if no gateway is live there: requests to such a host must not
- * pass through other regions.
+ * region, else all. If the host has home regions, one gateway in the caller's region is enough; if there is none,
+ * gateways in the home regions are chosen, and any others only if no gateway is live there: requests to such a host
+ * must not pass through other regions.
  * @param members live gateways. @param active store keys of the active ones. @param query query of that caller.
  * @param homes home regions of the host; empty: any region. @param random source of the random order.
  * @return addresses, in random order.
--- a/src/coordination/scatter_gather.cpp
+++ b/src/coordination/scatter_gather.cpp
@@ -185,7 +185,7 @@
 bool scatter_gather::accept_response(query_state& state, std::size_t shard, std::string const& body)
 {
     try {
-        auto response = parse_message<shard_answer>(body, "shard answer");
+        auto response = parse_message<shard_response>(body, "shard answer");
         // The response must be for this request, this service, this shard and the pinned version.
         bool const matches = response.request_id == state.query.request_id &&
                              response.shard == static_cast<std::int32_t>(shard) &&
@@ -206,7 +206,7 @@
     auto& slot = state->shards[shard];
     auto const now = clock::now();
     bool const allowed = slot.tries < m_options.max_tries_per_shard && now < state->deadline;
-    if (!allowed || !m_retry_budget.spend()) {
+    if (!allowed || !m_retry_budget.try_consume()) {
         finish_shard(state, shard);
         finish_if_complete(state);
         return;
@@ -266,7 +266,7 @@
         if (slot.open_attempts.size() >= in_flight.size()) in_flight.assign(in_flight.size(), false);
         auto const candidate = m_chooser(*slot.candidates, in_flight, now);
         if (!candidate) continue;
-        if (!m_hedge_budget.spend()) break;
+        if (!m_hedge_budget.try_consume()) break;
         ++slot.hedges;
         send_attempt(state, shard, *candidate, now);
         ++state->counts.hedges;
@@ -307,7 +307,7 @@
 void scatter_gather::finish_if_complete(state_ptr const& state)
 {
     if (state->finished || state->unfinished_shards > 0) return;
-    query_answer response;
+    query_response response;
     response.request_id = state->query.request_id;
     response.service = state->query.service;
     response.index_version = state->version;
--- a/src/net/tcp_stream.cpp
+++ b/src/net/tcp_stream.cpp
@@ -11,47 +11,47 @@
 
 namespace cornelspring {
 
-/** State of a stream, shared with the loop while the descriptor is registered. */
+/** Implementation of a stream. Callbacks registered with the loop refer to it weakly. */
 struct tcp_stream::impl : std::enable_shared_from_this<tcp_stream::impl> {
-    std::shared_ptr<descriptor_watch> watch = std::make_shared<descriptor_watch>(); ///< Registration.
-    stream_events events;                                                           ///< Owner's hooks.
-    std::string pending;                                                            ///< Bytes not yet sent.
-    std::size_t pending_from = 0;                                                   ///< First unsent byte of pending.
-    bool connecting = false;                                                        ///< Not yet established.
-    bool ended = false; ///< on_end was or will not be called.
-
-    /** Registers @p fd. */
+    std::shared_ptr<descriptor_watch> watch = std::make_shared<descriptor_watch>(); ///< Registration with the loop.
+    stream_events events;                                                           ///< Callbacks to the owner.
+    std::string pending;                                                            ///< Bytes waiting to be sent.
+    std::size_t pending_from = 0; ///< Offset of the first unsent byte in pending.
+    bool connecting = false;      ///< The connection is not established yet.
+    bool ended = false;           ///< on_end was called, or the owner destroyed the stream.
+
+    /** Sets the options of @p fd and registers it with @p loop. */
     void start(event_loop& loop, int fd, stream_options const& options);
-    /** Reads what has arrived and reports it. */
-    void read_some();
-    /** Goes on connecting or sending. */
-    void write_some();
-    /** Sends @p bytes until the socket takes no more. @return bytes taken. */
-    std::size_t push(std::string_view bytes);
-    /** Reports the end once. */
+    /** Reads bytes and passes them to the owner. */
+    void on_readable();
+    /** Continues connecting or sending. */
+    void on_writable();
+    /** Writes @p bytes until the socket accepts no more. @return the number of bytes accepted. */
+    std::size_t send_now(std::string_view bytes);
+    /** Closes the connection and reports its end, once. */
     void end(stream_end how);
 };
 
 namespace {
 
-/** Bytes read by one call; a larger buffer only helps bodies beyond this. */
+/** Bytes read by one recv(); a larger buffer would only help bodies larger than this. */
 constexpr std::size_t read_size = 64 * 1024;
-/** Read calls of one event before other descriptors get their turn. */
+/** Calls of recv() per event, so that one stream does not delay other descriptors. */
 constexpr int reads_per_event = 4;
-/** Connections accepted by one event before other descriptors get their turn. */
+/** Connections accepted per event, so that a listener does not delay other descriptors. */
 constexpr int accepts_per_event = 32;
-/** Seconds between keep-alive probes; with keep_alive_probes, a silent peer is found in about four seconds. */
+/** Seconds between keep-alive probes; with keep_alive_probes, an unreachable peer is detected in about 4 s. */
 constexpr int keep_alive_interval_s = 1;
-/** Unanswered keep-alive probes that end a connection. */
+/** Number of lost keep-alive probes that end a connection. */
 constexpr int keep_alive_probes = 3;
 
-/** Sets an integer socket option; a refusal is harmless, as every wait has a timer of its own. */
+/** Sets an integer socket option. Errors are ignored, as all waits have timers of their own. */
 void set_option(int fd, int level, int name, int value) { setsockopt(fd, level, name, &value, sizeof value); }
 
 /** Applies @p options to @p fd. */
 void apply_options(int fd, stream_options const& options)
 {
-    set_option(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, static_cast<int>(options.unacknowledged_limit.count()));
+    set_option(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, static_cast<int>(options.unacknowledged_timeout.count()));
     if (!options.keep_alive) return;
     set_option(fd, SOL_SOCKET, SO_KEEPALIVE, 1);
     set_option(fd, IPPROTO_TCP, TCP_KEEPIDLE, keep_alive_interval_s);
@@ -67,10 +67,10 @@
     watch->fd = fd;
     std::weak_ptr<impl> const weak = weak_from_this();
     watch->on_readable = [weak] {
-        if (auto const self = weak.lock()) self->read_some();
+        if (auto const self = weak.lock()) self->on_readable();
     };
     watch->on_writable = [weak] {
-        if (auto const self = weak.lock()) self->write_some();
+        if (auto const self = weak.lock()) self->on_writable();
     };
     watch->on_removed = [weak] {
         if (auto const self = weak.lock()) self->end(self->connecting ? stream_end::connect_failed : stream_end::reset);
@@ -84,24 +84,24 @@
     if (connecting) watch->want_write();
 }
 
-void tcp_stream::impl::read_some()
+void tcp_stream::impl::on_readable()
 {
     static thread_local std::array<char, read_size> buffer;
     auto const keep = shared_from_this();
     for (int i = 0; i < reads_per_event && !ended; ++i) {
-        auto const got = recv(watch->fd, buffer.data(), buffer.size(), 0);
-        if (got > 0) {
-            if (events.on_bytes) events.on_bytes({buffer.data(), static_cast<std::size_t>(got)});
-            if (static_cast<std::size_t>(got) < buffer.size()) return;
+        auto const count = recv(watch->fd, buffer.data(), buffer.size(), 0);
+        if (count > 0) {
+            if (events.on_bytes) events.on_bytes({buffer.data(), static_cast<std::size_t>(count)});
+            if (static_cast<std::size_t>(count) < buffer.size()) return;
             continue;
         }
-        if (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) return;
-        end(got == 0 ? stream_end::closed : connecting ? stream_end::connect_failed : stream_end::reset);
+        if (count < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) return;
+        end(count == 0 ? stream_end::closed : connecting ? stream_end::connect_failed : stream_end::reset);
         return;
     }
 }
 
-void tcp_stream::impl::write_some()
+void tcp_stream::impl::on_writable()
 {
     if (ended) return;
     auto const keep = shared_from_this();
@@ -118,7 +118,7 @@
         if (ended) return;
     }
     if (pending_from < pending.size()) {
-        pending_from += push(std::string_view(pending).substr(pending_from));
+        pending_from += send_now(std::string_view(pending).substr(pending_from));
         if (ended) return;
         if (pending_from < pending.size()) {
             watch->want_write();
@@ -130,18 +130,18 @@
     }
 }
 
-std::size_t tcp_stream::impl::push(std::string_view bytes)
+std::size_t tcp_stream::impl::send_now(std::string_view bytes)
 {
     std::size_t sent = 0;
     while (sent < bytes.size()) {
-        auto const took = ::send(watch->fd, bytes.data() + sent, bytes.size() - sent, MSG_NOSIGNAL);
-        if (took > 0) {
-            watch->loop->uplink.on_taken(static_cast<std::size_t>(took), watch->loop->now);
-            sent += static_cast<std::size_t>(took);
+        auto const accepted = ::send(watch->fd, bytes.data() + sent, bytes.size() - sent, MSG_NOSIGNAL);
+        if (accepted > 0) {
+            watch->loop->uplink.record_sent(static_cast<std::size_t>(accepted), watch->loop->now);
+            sent += static_cast<std::size_t>(accepted);
             continue;
         }
-        if (took < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) break;
-        break; // The read side reports the error, with any bytes that arrived before it.
+        if (accepted < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) break;
+        break; // recv() reports the error, after any bytes received before it.
     }
     return sent;
 }
@@ -180,7 +180,7 @@
 tcp_stream::~tcp_stream()
 {
     bool const was_open = !m_impl->ended;
-    m_impl->ended = true; // The hooks stay in place: one of them may be running now. None is called any more.
+    m_impl->ended = true; // Keeps the callbacks, as one may be running now; none is called after this.
     if (was_open) m_impl->watch->close();
 }
 
@@ -188,7 +188,7 @@
 {
     if (m_impl->ended) return;
     std::size_t sent = 0;
-    if (!m_impl->connecting && m_impl->pending.empty()) sent = m_impl->push(bytes);
+    if (!m_impl->connecting && m_impl->pending.empty()) sent = m_impl->send_now(bytes);
     if (sent == bytes.size()) return;
     m_impl->pending.append(bytes.substr(sent));
     if (!m_impl->connecting) m_impl->watch->want_write();
@@ -231,7 +231,7 @@
         }
     };
     if (!loop.state().watch(m_impl->watch)) {
-        throw error(error_kind::internal, "cannot watch the listening socket.", "Raise the limit of open files.");
+        throw error(error_kind::internal, "cannot register the listening socket.", "Raise the limit of open files.");
     }
 }
 
--- a/src/protocol/messages.cpp
+++ b/src/protocol/messages.cpp
@@ -1,4 +1,4 @@
-/** @file messages.cpp JSON codecs of the query messages. */
+/** @file messages.cpp JSON codecs of queries, writes and entry lists; rejects invalid requests of callers. */
 #include <cornelspring/protocol.hpp>
 
 #include <cctype>
@@ -11,30 +11,30 @@
 namespace cornelspring {
 namespace {
 
-/** Throws a bad_request error for field @p name. */
-[[noreturn]] void refuse(std::string const& name, std::string const& rule)
+/** Throws a bad_request error that says which rule field @p name breaks. */
+[[noreturn]] void reject(std::string const& name, std::string const& rule)
 {
     throw error(error_kind::bad_request, "field '" + name + "' " + rule + ".",
                 "Correct '" + name + "' and send again.");
 }
 
-/** Longest request id or idempotency key. */
+/** Greatest length of a request id or idempotency key. */
 constexpr std::size_t max_id_length = 128;
 
-/** Refuses a body that is not an object or has a field not in @p allowed. */
-void only_fields(nlohmann::json const& in, std::set<std::string> const& allowed, std::string const& what)
+/** Rejects a body that is not an object or has a field not in @p allowed. */
+void check_fields(nlohmann::json const& in, std::set<std::string> const& allowed, std::string const& what)
 {
-    if (!in.is_object()) refuse("(body)", "must be a JSON object");
+    if (!in.is_object()) reject("(body)", "must be a JSON object");
     for (auto const& [key, item] : in.items()) {
-        if (allowed.count(key) == 0) refuse(key, "is not a field of " + what);
+        if (allowed.count(key) == 0) reject(key, "is not a field of " + what);
     }
 }
 
-/** Refuses a deadline out of range. */
+/** Rejects a deadline out of range. */
 void check_deadline(std::int64_t deadline_ms)
 {
     if (deadline_ms < 0 || deadline_ms > max_deadline_ms) {
-        refuse("deadline_ms", "must be from 0 to " + std::to_string(max_deadline_ms));
+        reject("deadline_ms", "must be from 0 to " + std::to_string(max_deadline_ms));
     }
 }
 
@@ -68,16 +68,16 @@
     in.at("terms").get_to(value.terms);
     in.at("k").get_to(value.k);
     in.at("deadline_ms").get_to(value.deadline_ms);
-    if (value.k < 1 || value.k > max_k) refuse("k", "must be from 1 to " + std::to_string(max_k));
+    if (value.k < 1 || value.k > max_k) reject("k", "must be from 1 to " + std::to_string(max_k));
 }
 
-void to_json(nlohmann::json& out, shard_answer const& value)
+void to_json(nlohmann::json& out, shard_response const& value)
 {
     out = {{"request_id", value.request_id},       {"service", value.service}, {"shard", value.shard},
            {"index_version", value.index_version}, {"backend", value.backend}, {"hits", value.hits}};
 }
 
-void from_json(nlohmann::json const& in, shard_answer& value)
+void from_json(nlohmann::json const& in, shard_response& value)
 {
     in.at("request_id").get_to(value.request_id);
     in.at("service").get_to(value.service);
@@ -95,20 +95,20 @@
 
 void from_json(nlohmann::json const& in, query_request& value)
 {
-    only_fields(in, {"service", "query", "k", "deadline_ms", "request_id"}, "a query");
+    check_fields(in, {"service", "query", "k", "deadline_ms", "request_id"}, "a query");
     in.at("service").get_to(value.service);
     in.at("query").get_to(value.query);
     value.k = in.value("k", 10);
     value.deadline_ms = in.value("deadline_ms", std::int64_t{0});
     value.request_id = in.value("request_id", std::string{});
-    if (value.service.empty()) refuse("service", "must name a service");
-    if (split_terms(value.query).empty()) refuse("query", "must hold at least one word");
-    if (value.k < 1 || value.k > max_k) refuse("k", "must be from 1 to " + std::to_string(max_k));
+    if (value.service.empty()) reject("service", "must name a service");
+    if (split_terms(value.query).empty()) reject("query", "must hold at least one word");
+    if (value.k < 1 || value.k > max_k) reject("k", "must be from 1 to " + std::to_string(max_k));
     check_deadline(value.deadline_ms);
-    if (value.request_id.size() > max_id_length) refuse("request_id", "must be at most 128 characters");
+    if (value.request_id.size() > max_id_length) reject("request_id", "must be at most 128 characters");
 }
 
-void to_json(nlohmann::json& out, query_answer const& value)
+void to_json(nlohmann::json& out, query_response const& value)
 {
     out = {{"request_id", value.request_id},
            {"service", value.service},
@@ -120,7 +120,7 @@
            {"hits", value.hits}};
 }
 
-void from_json(nlohmann::json const& in, query_answer& value)
+void from_json(nlohmann::json const& in, query_response& value)
 {
     in.at("request_id").get_to(value.request_id);
     in.at("service").get_to(value.service);
@@ -143,21 +143,21 @@
 
 void from_json(nlohmann::json const& in, write_request& value)
 {
-    only_fields(in, {"service", "idempotency_key", "entity", "body", "deadline_ms"}, "a write");
+    check_fields(in, {"service", "idempotency_key", "entity", "body", "deadline_ms"}, "a write");
     in.at("service").get_to(value.service);
     in.at("idempotency_key").get_to(value.idempotency_key);
     in.at("entity").get_to(value.entity);
     in.at("body").get_to(value.body);
     value.deadline_ms = in.value("deadline_ms", std::int64_t{0});
-    if (value.service.empty()) refuse("service", "must name a service");
+    if (value.service.empty()) reject("service", "must name a service");
     if (value.idempotency_key.empty() || value.idempotency_key.size() > max_id_length) {
-        refuse("idempotency_key", "must have 1 to 128 characters");
+        reject("idempotency_key", "must have 1 to 128 characters");
     }
-    if (value.entity.empty()) refuse("entity", "must name what the write concerns");
+    if (value.entity.empty()) reject("entity", "must name what the write concerns");
     check_deadline(value.deadline_ms);
 }
 
-void to_json(nlohmann::json& out, write_answer const& value)
+void to_json(nlohmann::json& out, write_response const& value)
 {
     out = {{"idempotency_key", value.idempotency_key},
            {"service", value.service},
@@ -166,7 +166,7 @@
            {"replayed", value.replayed}};
 }
 
-void from_json(nlohmann::json const& in, write_answer& value)
+void from_json(nlohmann::json const& in, write_response& value)
 {
     in.at("idempotency_key").get_to(value.idempotency_key);
     in.at("service").get_to(value.service);
@@ -242,7 +242,7 @@
 
 std::int32_t shard_of_entity(std::string const& entity, std::int32_t shards)
 {
-    // The first 15 hex digits fit in 60 bits, so the modulus is taken of a positive number.
+    // The first 15 hex digits fit in 60 bits, so the number cannot overflow or become negative.
     auto const number = std::stoull(fingerprint(entity).substr(0, 15), nullptr, 16);
     return static_cast<std::int32_t>(number % static_cast<std::uint64_t>(shards));
 }
--- a/src/transport/h2_server.cpp
+++ b/src/transport/h2_server.cpp
@@ -18,40 +18,40 @@
 /** Bytes read from a socket per read() call. */
 constexpr std::size_t read_chunk = 16384;
 
-/** A request being received or answered on one stream. */
+/** A request and its response on one stream. */
 struct server_stream {
-    http_request request;   ///< What has arrived so far.
-    bool too_large = false; ///< The body passed the limit; the answer will be 413.
+    http_request request;   ///< Request received so far.
+    bool too_large = false; ///< The body exceeds the limit; the response will be 413.
     std::string body;       ///< Response body being sent.
     std::size_t offset = 0; ///< Bytes of body already handed to nghttp2.
 };
 
 /** One accepted connection and its nghttp2 session. */
 struct server_connection {
-    std::uint64_t id = 0;                          ///< Id used by replies to find it.
-    int fd = -1;                                   ///< Socket.
-    nghttp2_session* session = nullptr;            ///< Server session.
-    std::map<std::int32_t, server_stream> streams; ///< Open streams by id.
-    std::string out;                               ///< Serialised frames not yet written.
-    bool broken = false;                           ///< Read or write failed; close it.
-    bool silent = false;                           ///< Fault injection: neither read nor written any more.
-    std::function<void(std::int32_t)> on_complete; ///< Called when a request has fully arrived.
-    std::size_t max_body = 0;                      ///< Body limit in bytes.
+    std::uint64_t id = 0;                                  ///< Id by which responses find it.
+    int fd = -1;                                           ///< Socket.
+    nghttp2_session* session = nullptr;                    ///< Server session.
+    std::map<std::int32_t, server_stream> streams;         ///< Open streams by id.
+    std::string send_buffer;                               ///< Serialised frames not yet written.
+    bool broken = false;                                   ///< Read or write failed; close it.
+    bool silent = false;                                   ///< Fault injection: no longer read or written.
+    std::function<void(std::int32_t)> on_request_complete; ///< Called when a request is complete.
+    std::size_t max_body = 0;                              ///< Body limit in bytes.
 };
 
 } // namespace
 
-/** State of the server task; touched only by its thread except where noted. */
+/** State of the server; owned by its thread except for the queue and the atomics. */
 struct h2_server::impl {
     server_options options;  ///< Address and limits.
     request_handler handler; ///< Application handler.
     int listen_fd = -1;      ///< Listening socket; -1 once draining.
     std::uint16_t port = 0;  ///< Bound port.
-    std::shared_ptr<detail::task_queue> queue = std::make_shared<detail::task_queue>(); ///< Inbox.
+    std::shared_ptr<detail::task_queue> queue = std::make_shared<detail::task_queue>(); ///< Tasks posted to the thread.
     std::thread thread;                                                                 ///< The server thread.
     std::atomic<bool> stopping{false};                                                  ///< Set by the destructor.
     std::atomic<bool> frozen{false};                                         ///< Fault injection: read nothing.
-    std::atomic<std::size_t> pending{0};                                     ///< Requests dispatched, not answered.
+    std::atomic<std::size_t> pending{0};                                     ///< Requests without a response yet.
     std::map<std::uint64_t, std::unique_ptr<server_connection>> connections; ///< Open connections.
     std::uint64_t next_id = 1;                                               ///< Next connection id.
     std::function<void(time_point)> tick;                                    ///< Periodic hook.
@@ -62,9 +62,9 @@
     void read_from(server_connection& connection);
     void flush(server_connection& connection);
     void dispatch(server_connection& connection, std::int32_t stream_id);
-    void answer(std::uint64_t connection_id, std::int32_t stream_id, http_response response);
+    void send_response(std::uint64_t connection_id, std::int32_t stream_id, http_response response);
     void close_broken();
-    void go_away();
+    void send_goaway();
 };
 
 namespace {
@@ -72,17 +72,17 @@
 /** @return the connection passed as nghttp2 user data. */
 server_connection& connection_of(void* user_data) { return *static_cast<server_connection*>(user_data); }
 
-/** Tells the handler of @p stream that nobody waits for its answer any more. */
-void cancel(server_stream& stream)
+/** Signals to the handler of @p stream that its response is no longer needed. */
+void mark_canceled(server_stream& stream)
 {
-    if (stream.request.cancelled != nullptr) stream.request.cancelled->store(true);
+    if (stream.request.canceled != nullptr) stream.request.canceled->store(true);
 }
 
 int on_begin_headers(nghttp2_session*, nghttp2_frame const* frame, void* user_data)
 {
     if (frame->hd.type == NGHTTP2_HEADERS && frame->headers.cat == NGHTTP2_HCAT_REQUEST) {
         auto& stream = connection_of(user_data).streams[frame->hd.stream_id];
-        stream.request.cancelled = std::make_shared<std::atomic<bool>>(false);
+        stream.request.canceled = std::make_shared<std::atomic<bool>>(false);
     }
     return 0;
 }
@@ -127,16 +127,16 @@
     auto& streams = connection_of(user_data).streams;
     auto found = streams.find(stream_id);
     if (found == streams.end()) return 0;
-    cancel(found->second);
+    mark_canceled(found->second);
     streams.erase(found);
     return 0;
 }
 
 int on_frame_recv(nghttp2_session*, nghttp2_frame const* frame, void* user_data)
 {
-    bool const ends = (frame->hd.flags & NGHTTP2_FLAG_END_STREAM) != 0;
+    bool const ends_stream = (frame->hd.flags & NGHTTP2_FLAG_END_STREAM) != 0;
     bool const carries_request = frame->hd.type == NGHTTP2_HEADERS || frame->hd.type == NGHTTP2_DATA;
-    if (ends && carries_request) connection_of(user_data).on_complete(frame->hd.stream_id);
+    if (ends_stream && carries_request) connection_of(user_data).on_request_complete(frame->hd.stream_id);
     return 0;
 }
 
@@ -161,28 +161,28 @@
     ++pending;
     std::weak_ptr<detail::task_queue> inbox = queue;
     std::uint64_t const connection_id = connection.id;
-    auto reply = [this, inbox, connection_id, stream_id](http_response response) {
+    auto respond = [this, inbox, connection_id, stream_id](http_response response) {
         if (auto target = inbox.lock()) {
             target->post([this, connection_id, stream_id, response = std::move(response)]() mutable {
-                answer(connection_id, stream_id, std::move(response));
+                send_response(connection_id, stream_id, std::move(response));
             });
         }
     };
     if (stream.too_large) {
-        reply(error_response(
+        respond(error_response(
             error(error_kind::too_large, "request body is larger than the server's limit.", "Send a smaller body.")));
         return;
     }
     try {
-        handler(stream.request, reply);
+        handler(stream.request, respond);
     } catch (error const& failure) {
-        reply(error_response(failure));
+        respond(error_response(failure));
     } catch (std::exception const& failure) {
-        reply(error_response(error(error_kind::internal, failure.what(), "Report this bug.")));
+        respond(error_response(error(error_kind::internal, failure.what(), "Report this bug.")));
     }
 }
 
-void h2_server::impl::answer(std::uint64_t connection_id, std::int32_t stream_id, http_response response)
+void h2_server::impl::send_response(std::uint64_t connection_id, std::int32_t stream_id, http_response response)
 {
     --pending;
     auto found = connections.find(connection_id);
@@ -226,7 +226,7 @@
         connection->fd = fd;
         connection->max_body = options.max_body_bytes;
         auto* raw = connection.get();
-        connection->on_complete = [this, raw](std::int32_t stream_id) { dispatch(*raw, stream_id); };
+        connection->on_request_complete = [this, raw](std::int32_t stream_id) { dispatch(*raw, stream_id); };
         nghttp2_session_server_new(&connection->session, callbacks, connection.get());
         nghttp2_settings_entry setting{NGHTTP2_SETTINGS_MAX_CONCURRENT_STREAMS, 1000};
         nghttp2_submit_settings(connection->session, NGHTTP2_FLAG_NONE, &setting, 1);
@@ -259,15 +259,16 @@
         uint8_t const* data = nullptr;
         ssize_t const count = nghttp2_session_mem_send(connection.session, &data);
         if (count <= 0) break;
-        connection.out.append(reinterpret_cast<char const*>(data), static_cast<size_t>(count));
+        connection.send_buffer.append(reinterpret_cast<char const*>(data), static_cast<size_t>(count));
     }
-    while (!connection.out.empty()) {
-        ssize_t const written = send(connection.fd, connection.out.data(), connection.out.size(), MSG_NOSIGNAL);
+    while (!connection.send_buffer.empty()) {
+        ssize_t const written =
+            send(connection.fd, connection.send_buffer.data(), connection.send_buffer.size(), MSG_NOSIGNAL);
         if (written < 0) {
             if (errno != EAGAIN && errno != EWOULDBLOCK) connection.broken = true;
             return;
         }
-        connection.out.erase(0, static_cast<size_t>(written));
+        connection.send_buffer.erase(0, static_cast<size_t>(written));
     }
     if (!nghttp2_session_want_read(connection.session) && !nghttp2_session_want_write(connection.session)) {
         connection.broken = true;
@@ -279,7 +280,7 @@
     for (auto it = connections.begin(); it != connections.end();) {
         if (it->second->broken) {
             for (auto& [stream_id, stream] : it->second->streams)
-                cancel(stream);
+                mark_canceled(stream);
             nghttp2_session_del(it->second->session);
             close(it->second->fd);
             it = connections.erase(it);
@@ -289,7 +290,7 @@
     }
 }
 
-void h2_server::impl::go_away()
+void h2_server::impl::send_goaway()
 {
     if (listen_fd >= 0) {
         close(listen_fd);
@@ -316,7 +317,7 @@
         for (auto& [id, connection] : connections) {
             if (connection->silent) continue;
             short events = reading ? POLLIN : 0;
-            if (!connection->out.empty()) events |= POLLOUT;
+            if (!connection->send_buffer.empty()) events |= POLLOUT;
             fds.push_back({connection->fd, events, 0});
             polled.push_back(connection.get());
         }
@@ -326,7 +327,7 @@
         if (first_connection > 1 && fds[1].revents != 0 && !frozen) accept_all();
         for (std::size_t i = first_connection; i < fds.size(); ++i) {
             auto& connection = *polled[i - first_connection];
-            // It may have been frozen while this thread waited; what was sent after that stays unread.
+            // The server may have been frozen during poll(); data sent after that must stay unread.
             bool const readable = !frozen && (fds[i].revents & POLLIN) != 0;
             if (readable || (fds[i].revents & (POLLHUP | POLLERR)) != 0) read_from(connection);
             if (!connection.broken) flush(connection);
@@ -383,7 +384,7 @@
 
 std::size_t h2_server::drain(milliseconds limit)
 {
-    post([this] { m_impl->go_away(); });
+    post([this] { m_impl->send_goaway(); });
     auto const until = clock::now() + limit;
     while (m_impl->pending > 0 && clock::now() < until) {
         std::this_thread::sleep_for(milliseconds(10));
--- a/tests/test_busy_process.cpp
+++ b/tests/test_busy_process.cpp
@@ -25,9 +25,9 @@
             response.headers = {{"signature", "s"}};
             server->respond(request.key, std::move(response));
         };
-        hooks.on_disconnect = [](request_key) {};
+        hooks.on_caller_disconnected = [](request_key) {};
         hooks.limits = [] { return caller_limits{}; };
-        hooks.on_refused = [](int, char const*) {};
+        hooks.on_rejected = [](int, char const*) {};
         server = std::make_unique<caller_server>(loop, std::move(hooks));
         address = {"127.0.0.1", server->listen({"127.0.0.1", 0}, false)};
         pool_options options;
@@ -169,11 +169,11 @@
 {
     uplink_backlog link(1e6);
     time_point const begin{};
-    link.on_taken(500'000, begin);
-    link.on_taken(100'000, begin + 100ms);
+    link.record_sent(500'000, begin);
+    link.record_sent(100'000, begin + 100ms);
     CHECK(link.wait(begin + 100ms) == 500ms);
     CHECK(link.wait(begin + 700ms) == 0ms);
     uplink_backlog unknown;
-    unknown.on_taken(1 << 30, begin);
+    unknown.record_sent(1 << 30, begin);
     CHECK(unknown.wait(begin) == 0ms);
 }
