--- a/include/cornelspring/places.hpp
+++ b/include/cornelspring/places.hpp
@@ -25,7 +25,7 @@
 
 /** @return whether a request with home regions @p homes may be served in @p region. @param homes home regions.
  *  @param region region of the backend server. */
-inline bool in_home_regions(region_set const& homes, region_name const& region)
+inline bool in_home_region(region_set const& homes, region_name const& region)
 {
     return homes.empty() || homes.contains(region);
 }
@@ -130,16 +130,16 @@
 
 /** What the placement rules need of one request. */
 struct placement_requirements {
-    region_set const& home_regions; ///< Regions in which it may be served.
-    warmup_spec const& warmup;      ///< Warm-up of the service's backend servers.
+    region_set const& home_region_set; ///< Regions in which it may be served.
+    warmup_spec const& warmup;         ///< Warm-up of the service's backend servers.
 };
 
 /** Why a request may not be sent to a backend server. */
 enum class placement_refusal {
-    none,                 ///< It may be sent.
-    outside_home_regions, ///< It is outside the request's home regions.
-    evacuated,            ///< Its failure domain is evacuated.
-    cold,                 ///< It is cold, and this VM's quota for it is used up.
+    none,                ///< It may be sent.
+    outside_home_region, ///< It is outside the request's home regions.
+    evacuated,           ///< Its failure domain is evacuated.
+    cold,                ///< It is cold, and this VM's quota for it is used up.
 };
 /** @return the name of @p refusal for logs. @param refusal the refusal. */
 char const* to_string(placement_refusal refusal);
--- a/include/cornelspring/routing.hpp
+++ b/include/cornelspring/routing.hpp
@@ -78,7 +78,7 @@
     int priority = 0;                         ///< Priority; 0 is the highest.
     bool highest_priority = true;      ///< No route over the same shards has a higher priority; set by serving_config.
     int attempts = 1;                  ///< Most attempts of one request, per shard.
-    region_set home_regions;           ///< Regions that may serve it; empty: all.
+    region_set home_region_set;        ///< Regions that may serve it; empty: all.
     std::vector<split_target> split;   ///< Services that share the requests; one entry for a route to one service.
     std::optional<gather_spec> gather; ///< Set for a route over shards; split is then empty.
 };
@@ -115,7 +115,7 @@
     warmup_spec const& warmup(service_name const& service) const;
     /** @return the regions that are home regions of every route of @p host with home regions. If there is no such
      *  region, those that are a home region of at least one. Empty: all regions. @param host host. */
-    region_set home_regions_of_host(std::string const& host) const;
+    region_set home_region_set_of_host(std::string const& host) const;
     /** @return the lowest connection limit among the shards of all gathers; 0 when no route gathers. */
     int min_gather_connections() const { return m_min_gather_connections; }
     /**
@@ -355,14 +355,14 @@
 
 /** Why no attempt was sent. */
 enum class selection_failure {
-    none,                 ///< One was sent.
-    no_backend,           ///< No backend server is usable.
-    outside_home_regions, ///< The usable ones are outside the request's home regions.
-    evacuated,            ///< The usable ones are in evacuated failure domains.
-    cold,                 ///< The usable ones are cold, and this VM's quota for them is used up.
-    no_room,              ///< All have as many attempts in flight as this VM may have.
-    no_budget,            ///< The retry budget is used up.
-    no_gain,              ///< A hedge would not give an earlier response.
+    none,                ///< One was sent.
+    no_backend,          ///< No backend server is usable.
+    outside_home_region, ///< The usable ones are outside the request's home regions.
+    evacuated,           ///< The usable ones are in evacuated failure domains.
+    cold,                ///< The usable ones are cold, and this VM's quota for them is used up.
+    no_room,             ///< All have as many attempts in flight as this VM may have.
+    no_budget,           ///< The retry budget is used up.
+    no_gain,             ///< A hedge would not give an earlier response.
 };
 /** @return the name of @p miss for logs. @param miss the reason. */
 char const* to_string(selection_failure miss);
--- a/src/dispatch/dispatcher_arrival.cpp
+++ b/src/dispatch/dispatcher_arrival.cpp
@@ -226,12 +226,12 @@
 
 selection_context dispatcher::impl::context(request_state const& request, shard_state const& shard) const
 {
-    return {options.selection, placement, {request.matched_route->home_regions, *shard.warmup}};
+    return {options.selection, placement, {request.matched_route->home_region_set, *shard.warmup}};
 }
 
 void dispatcher::impl::count_miss(request_summary& summary, selection_failure miss)
 {
-    if (miss == selection_failure::outside_home_regions) ++summary.no_home;
+    if (miss == selection_failure::outside_home_region) ++summary.no_home;
     if (miss == selection_failure::evacuated) ++summary.evacuated;
     if (miss == selection_failure::cold) ++summary.cold;
 }
--- a/src/dispatch/dispatcher_attempts.cpp
+++ b/src/dispatch/dispatcher_attempts.cpp
@@ -130,7 +130,7 @@
     case selection_failure::no_budget:
     case selection_failure::no_gain:
     case selection_failure::no_backend:
-    case selection_failure::outside_home_regions:
+    case selection_failure::outside_home_region:
     case selection_failure::evacuated:
     case selection_failure::cold:
         request.shards[index].failed = true;
--- a/src/dispatch/preconnect.cpp
+++ b/src/dispatch/preconnect.cpp
@@ -15,7 +15,7 @@
     for (auto const& via : config.routes()) {
         if (!via.gather) continue;
         for (auto const& shard : via.gather->shards)
-            services[shard].insert(via.home_regions);
+            services[shard].insert(via.home_region_set);
     }
     std::vector<std::shared_ptr<backend_server>> missing;
     for (auto const& [service, all_homes] : services) {
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -119,7 +119,7 @@
 http_response gateway::impl::address_response(std::string const& target)
 {
     auto const query = settings.decode_address_query(target);
-    auto const homes = configs.current() ? configs.current()->home_regions_of_host(query.host) : region_set{};
+    auto const homes = configs.current() ? configs.current()->home_region_set_of_host(query.host) : region_set{};
     auto chosen = choose_addresses(members, active, query, homes, random);
     // Until the gateway has received any registration, its own included, it can at least return its own address.
     if (chosen.empty() && ready() && settings.caller_address) chosen.push_back(*settings.caller_address);
--- a/src/places/placement_rules.cpp
+++ b/src/places/placement_rules.cpp
@@ -7,7 +7,7 @@
 {
     switch (refusal) {
     case placement_refusal::none: return "none";
-    case placement_refusal::outside_home_regions: return "away";
+    case placement_refusal::outside_home_region: return "away";
     case placement_refusal::evacuated: return "evacuated";
     case placement_refusal::cold: return "cold";
     }
@@ -26,7 +26,7 @@
 placement_refusal placement_rules::refusal(server_placement const& server, placement_requirements const& requirements,
                                            time_point now) const
 {
-    if (!in_home_regions(requirements.home_regions, server.region)) return placement_refusal::outside_home_regions;
+    if (!in_home_region(requirements.home_region_set, server.region)) return placement_refusal::outside_home_region;
     if (m_evacuations.is_evacuated(server.domain)) return placement_refusal::evacuated;
     if (requirements.warmup.per_second <= 0 || !is_cold(server, requirements.warmup, now))
         return placement_refusal::none;
--- a/src/routing/replica_choice.cpp
+++ b/src/routing/replica_choice.cpp
@@ -10,7 +10,7 @@
     switch (miss) {
     case selection_failure::none: return "none";
     case selection_failure::no_backend: return "no_backend";
-    case selection_failure::outside_home_regions: return "away";
+    case selection_failure::outside_home_region: return "away";
     case selection_failure::evacuated: return "evacuated";
     case selection_failure::cold: return "cold";
     case selection_failure::no_room: return "no_room";
@@ -78,8 +78,8 @@
     /** Records that a placement rule excluded a backend server. */
     void add(placement_refusal refusal)
     {
-        if (refusal == placement_refusal::outside_home_regions && m_miss == selection_failure::no_backend)
-            m_miss = selection_failure::outside_home_regions;
+        if (refusal == placement_refusal::outside_home_region && m_miss == selection_failure::no_backend)
+            m_miss = selection_failure::outside_home_region;
         if (refusal == placement_refusal::evacuated && m_miss != selection_failure::cold)
             m_miss = selection_failure::evacuated;
         if (refusal == placement_refusal::cold) m_miss = selection_failure::cold;
--- a/src/routing/serving_config.cpp
+++ b/src/routing/serving_config.cpp
@@ -57,15 +57,15 @@
     return found == m_services.end() ? unbounded : found->second.warmup;
 }
 
-region_set serving_config::home_regions_of_host(std::string const& host) const
+region_set serving_config::home_region_set_of_host(std::string const& host) const
 {
     region_set some;
     std::optional<region_set> all;
     for (auto const& each : m_routes) {
-        if (each.host != host || each.home_regions.empty()) continue;
-        some.insert(each.home_regions.begin(), each.home_regions.end());
-        if (!all) all = each.home_regions;
-        std::erase_if(*all, [&each](region_name const& region) { return !each.home_regions.contains(region); });
+        if (each.host != host || each.home_region_set.empty()) continue;
+        some.insert(each.home_region_set.begin(), each.home_region_set.end());
+        if (!all) all = each.home_region_set;
+        std::erase_if(*all, [&each](region_name const& region) { return !each.home_region_set.contains(region); });
     }
     return all && !all->empty() ? *all : some;
 }
--- a/tests/gateway_fixture.cpp
+++ b/tests/gateway_fixture.cpp
@@ -113,12 +113,12 @@
 }
 
 void gateway_fleet::configure(int version, std::vector<std::string> const& shards,
-                              std::vector<std::string> const& home_regions)
+                              std::vector<std::string> const& home_region_set)
 {
-    auto const route = [&home_regions](char const* prefix, char const* kind) {
+    auto const route = [&home_region_set](char const* prefix, char const* kind) {
         return json{{"name", prefix},     {"hostname", "h.example"}, {"prefix", prefix},
                     {"route_type", kind}, {"timeout_ms", 2000},      {"goal_ms", 400},
-                    {"priority", 1},      {"attempts", 2},           {"home_regions", home_regions}};
+                    {"priority", 1},      {"attempts", 2},           {"home_regions", home_region_set}};
     };
     auto gather = route("/q/", "idempotent");
     gather["gather"] = shards;
--- a/tests/test_places.cpp
+++ b/tests/test_places.cpp
@@ -19,14 +19,14 @@
         }
         placement.quotas().set_participants({"self"}, "self", now - 10s);
     }
-    /** Applies a configuration whose routes have the home regions @p home_regions and whose cold backend servers can
+    /** Applies a configuration whose routes have the home regions @p home_region_set and whose cold backend servers can
      *  handle @p per_second requests per second; 0: no limit. */
-    void configure(region_set const& home_regions, double per_second = 0)
+    void configure(region_set const& home_region_set, double per_second = 0)
     {
         auto const base = config_of(++version, {"g0", "g1", "g2", "g3"});
         auto routes = base->routes();
         for (auto& each : routes)
-            each.home_regions = home_regions;
+            each.home_region_set = home_region_set;
         std::map<service_name, service_limits> services;
         for (char const* service : {"s", "t", "g0", "g1", "g2", "g3"})
             services[service_name(service)] = {60, {3000ms, per_second}};
@@ -244,11 +244,11 @@
             members["g/" + std::to_string(1000 + i)] = member_of("d" + std::to_string(i % 6), region, i);
         }
         auto const regions_of_addresses = [&](member_map const& live, std::string const& from,
-                                              region_set const& home_regions) {
+                                              region_set const& home_region_set) {
             std::set<std::string> found;
             auto const active = choose_active(live, 20);
             address_query const asked{"h", region_name(from), domain_name("none")};
-            for (auto const& address : choose_addresses(live, active, asked, home_regions, random))
+            for (auto const& address : choose_addresses(live, active, asked, home_region_set, random))
                 found.insert("r" + std::to_string(address.port % 3));
             return found;
         };
@@ -265,17 +265,17 @@
 
 TEST_CASE("placement: the home regions of a host are those common to its routes, else those of any route")
 {
-    auto const route_of = [](std::string const& prefix, region_set home_regions) {
+    auto const route_of = [](std::string const& prefix, region_set home_region_set) {
         route made;
         made.host = "h";
         made.prefix = prefix;
-        made.home_regions = std::move(home_regions);
+        made.home_region_set = std::move(home_region_set);
         return made;
     };
     region_name const a("a");
     region_name const b("b");
     auto const homes_with = [&](std::vector<route> routes) {
-        return serving_config(config_version(1), std::move(routes), {}, {}).home_regions_of_host("h");
+        return serving_config(config_version(1), std::move(routes), {}, {}).home_region_set_of_host("h");
     };
     CHECK(homes_with({route_of("/x/", {})}).empty());
     CHECK(homes_with({route_of("/x/", {a, b}), route_of("/y/", {b}), route_of("/z/", {})}) == region_set{b});
--- a/tests/test_preconnect.cpp
+++ b/tests/test_preconnect.cpp
@@ -47,8 +47,8 @@
         std::erase_if(routes, [](route const& each) { return !each.gather; });
         routes.resize(1);
         routes.push_back(routes.front());
-        routes[0].home_regions = first;
-        routes[1].home_regions = second;
+        routes[0].home_region_set = first;
+        routes[1].home_region_set = second;
         routes[1].prefix = "/other/";
         configs.set_if_newer(std::make_shared<serving_config const>(
             config_version(version), routes, std::map<service_name, service_limits>{}, caller_limits{}));
